--- a/benchmarks/loss.py
+++ b/benchmarks/loss.py
@@ -7,7 +7,7 @@
 
 from random import Random
 
-from hookrouter import interface as i
+from hookrouter import interface
 from hookrouter.control import Control
 from hookrouter.lab.engine import Engine
 from hookrouter.lab.stations import Queue
@@ -23,18 +23,31 @@
 BEGIN = 1_000_000
 
 CACHES = (
-    *(i.Cache(f"c{n}", "edge", n % 2, 18.0, 0, i.READY, "box") for n in range(4)),
-    *(i.Cache(f"p{n}", "hub", 9, 54.0, 0, i.READY, "parent") for n in range(2)),
-    i.Cache("o0", "far", 9, 10.0, 0, i.READY, "origin"),
+    *(interface.Cache(f"c{n}", "edge", n % 2, 18.0, 0, interface.READY, "box") for n in range(4)),
+    *(interface.Cache(f"p{n}", "hub", 9, 54.0, 0, interface.READY, "parent") for n in range(2)),
+    interface.Cache("o0", "far", 9, 10.0, 0, interface.READY, "origin"),
 )
-KIND = i.ObjectKind(
-    "clip", 4_000, 2.0, 4 * SECOND, 1.0, 0.1, i.IDEMPOTENT, i.EVERYWHERE, 0, 0, 0, 0.7, False, False
+KIND = interface.ObjectKind(
+    "clip",
+    4_000,
+    2.0,
+    4 * SECOND,
+    1.0,
+    0.1,
+    interface.IDEMPOTENT,
+    interface.EVERYWHERE,
+    0,
+    0,
+    0,
+    0.7,
+    False,
+    False,
 )
-WRITE = KIND._replace(name="hold", effect=i.DEDUPLICATED, remembered=2 * SECOND, write=True)
+WRITE = KIND._replace(name="hold", effect=interface.DEDUPLICATED, remembered=2 * SECOND, write=True)
 
 
 def terms():
-    top = i.Topology(
+    top = interface.Topology(
         number=0,
         routers=3,
         zone="edge",
@@ -44,10 +57,10 @@
         links=(0, 0),
         parent_sort="parent",
         origin_sort="origin",
-        siblings=i.OWN_LOCATION,
+        siblings=interface.OWN_LOCATION,
         flow=5000.0,
     )
-    return i.Terms(
+    return interface.Terms(
         top,
         (KIND, WRITE),
         must_subscribe=False,
@@ -95,7 +108,7 @@
         self.counted = [[0, 0, 0] for _ in range(span + 10)]  # by second of arrival: asked, in budget, nacked
         self.gates, self.number = [[] for _ in range(span + 10)], 0
         self.engine.now = BEGIN
-        self.tell(i.CacheList(i.REMEMBERED, CACHES))
+        self.tell(interface.CacheList(interface.REMEMBERED, CACHES))
         self.engine.after(1, self.arrive)
         self.engine.after(2, self.other)
         self.engine.after(STEP, self.look)
@@ -117,7 +130,7 @@
             self.lookups[n] = [now, 0]
             self.row(n)[0] += 1
             kind = "hold" if self.dice.random() < 0.05 else "clip"
-            self.tell(i.Lookup(n, kind, f"k{n}", 0, 1, CARRY * 0.5, now + KIND.deadline, False))
+            self.tell(interface.Lookup(n, kind, f"k{n}", 0, 1, CARRY * 0.5, now + KIND.deadline, False))
             self.engine.after(int(self.dice.expovariate(RATE / SECOND)), self.arrive)
 
     def other(self):
@@ -136,14 +149,14 @@
 
     def tell(self, event):
         for effect in self.control.decide(self.engine.now, [event]):
-            if isinstance(effect, i.SetAlarm):
-                self.engine.after(effect.delay, self.tell, i.Alarm(effect.token))
-            elif isinstance(effect, (i.Ask, i.Obtain)):
+            if isinstance(effect, interface.SetAlarm):
+                self.engine.after(effect.delay, self.tell, interface.Alarm(effect.token))
+            elif isinstance(effect, (interface.Ask, interface.Obtain)):
                 self.send(effect)
-            elif isinstance(effect, i.Nack):
+            elif isinstance(effect, interface.Nack):
                 self.row(effect.id)[2] += 1
                 self.engine.after(0, self.forget, effect.id)
-            elif isinstance(effect, i.Cancel):
+            elif isinstance(effect, interface.Cancel):
                 self.engine.after(1, self.cancelled, effect)
 
     def forget(self, n):
@@ -155,33 +168,35 @@
         self.lookups[effect.id][1] += 1
         self.sends[effect.id, number] = effect.wait
         rest = effect.id, number, effect
-        self.engine.after(effect.wait, self.end, *rest, i.LATE, self.engine.now)
+        self.engine.after(effect.wait, self.end, *rest, interface.LATE, self.engine.now)
         if self.dice.random() < self.strength(self.loss, 0.0):
             return
-        fill = isinstance(effect, i.Obtain) and effect.source != effect.cache and not effect.held_only
-        if isinstance(effect, i.Obtain) and Random(effect.id).random() < HELD:
-            self.engine.after(CARRY, self.end, *rest, i.SATISFIED, self.engine.now)
-        elif isinstance(effect, i.Obtain) and not fill:
-            self.engine.after(FAST, self.end, *rest, i.MISSING, self.engine.now)
+        fill = isinstance(effect, interface.Obtain) and effect.source != effect.cache and not effect.held_only
+        if isinstance(effect, interface.Obtain) and Random(effect.id).random() < HELD:
+            self.engine.after(CARRY, self.end, *rest, interface.SATISFIED, self.engine.now)
+        elif isinstance(effect, interface.Obtain) and not fill:
+            self.engine.after(FAST, self.end, *rest, interface.MISSING, self.engine.now)
         elif not self.origin.take(FILL, self.filled, rest, self.engine.now):
-            self.engine.after(FAST, self.end, *rest, i.FULL, self.engine.now)
+            self.engine.after(FAST, self.end, *rest, interface.FULL, self.engine.now)
 
     def cancelled(self, effect):
         if self.sends.pop((effect.id, effect.send), None) is not None:
-            self.tell(i.SendEnd(effect.id, effect.send, i.CANCELLED, 0, True, 0, "", None))
+            self.tell(interface.SendEnd(effect.id, effect.send, interface.CANCELLED, 0, True, 0, "", None))
 
     def filled(self, rest, at):
-        self.engine.after(CARRY, self.end, *rest, i.SATISFIED, at)
+        self.engine.after(CARRY, self.end, *rest, interface.SATISFIED, at)
 
     def end(self, n, number, effect, how, at):
         if self.sends.pop((n, number), None) is None:
             return
         asked, state = self.lookups[n]
-        good = how == i.SATISFIED and state >= 0
+        good = how == interface.SATISFIED and state >= 0
         if good:
             self.lookups[n][1] = -1
             self.row(n)[1] += self.engine.now - asked <= KIND.latency_budget + KIND.budget_stretch * CARRY
-        self.tell(i.SendEnd(n, number, how, 0, good or state < 0, self.engine.now - at, effect.cache, None))
+        self.tell(
+            interface.SendEnd(n, number, how, 0, good or state < 0, self.engine.now - at, effect.cache, None)
+        )
 
     # ---- what is asked of it
 
--- a/benchmarks/purges/costs.py
+++ b/benchmarks/purges/costs.py
@@ -5,7 +5,7 @@
 import tempfile
 import time
 
-from hookrouter import interface as i
+from hookrouter import interface
 from hookrouter.control import Control
 from hookrouter.node.start import read_start
 from hookrouter.purges import Guard, Purge, PurgeTerms, types
@@ -24,7 +24,7 @@
     caches = [cache for cache in listed if cache is not box]
     caches += [box._replace(id=f"c{n}") for n in range(10)]
     made = Control(1, start.terms, guard)
-    made.decide(SECOND, [i.CacheList(i.REMEMBERED, tuple(caches))])
+    made.decide(SECOND, [interface.CacheList(interface.REMEMBERED, tuple(caches))])
     return made
 
 
@@ -51,13 +51,16 @@
     began = time.perf_counter()
     for n, (name, group) in enumerate(asked):
         now = 100 * SECOND + at + n
-        lookup = i.Lookup(at + n, "clip", name, n % 5, group, 400.0, now + 4 * SECOND, False)
-        send = next(e for e in made.decide(now, [lookup]) if isinstance(e, (i.Ask, i.Obtain)))
+        lookup = interface.Lookup(at + n, "clip", name, n % 5, group, 400.0, now + 4 * SECOND, False)
+        send = next(e for e in made.decide(now, [lookup]) if isinstance(e, (interface.Ask, interface.Obtain)))
         if guard is not None:
             guard.at(now)
             guard.refused(now, now, "clip", name, group, now - 10, ("red",))
             guard.learn(name, now - 10, ("red",))
-        made.decide(now + 50, [i.SendEnd(at + n, 0, i.SATISFIED, i.FOUND, True, 50, send.cache, None)])
+        made.decide(
+            now + 50,
+            [interface.SendEnd(at + n, 0, interface.SATISFIED, interface.FOUND, True, 50, send.cache, None)],
+        )
     return time.perf_counter() - began
 
 
--- a/benchmarks/spread/__init__.py
+++ b/benchmarks/spread/__init__.py
@@ -4,7 +4,7 @@
 import time
 from multiprocessing import get_context
 
-from hookrouter import interface as i
+from hookrouter import interface
 
 from ..seeded import mistakes
 from . import checks, shares_model, shares_world, world
@@ -81,7 +81,7 @@
             seeks,
             [
                 (world.Plan(way=way, delay=2.0), 4.0, fault)
-                for fault in (i.ERRED, i.UNREACHED)
+                for fault in (interface.ERRED, interface.UNREACHED)
                 for way in ("ours", "alone")
             ],
             1,
--- a/benchmarks/spread/caches.py
+++ b/benchmarks/spread/caches.py
@@ -1,6 +1,6 @@
 """Caches of the made-up world: a link that its transfers share, copies, fills that take a while."""
 
-from hookrouter import interface as i
+from hookrouter import interface
 from hookrouter.lab.stations import Copies, Link
 
 FILL = 1_500  # 150 ms from the parent, before the copy's own sending
@@ -18,7 +18,7 @@
         self.out = 0  # sends of all routers, from their leaving to their end
         self.arrived = []  # (when, router)
         self.hits = self.misses = 0
-        self.well, self.fault, self.fills = True, i.UNREACHED, {}
+        self.well, self.fault, self.fills = True, interface.UNREACHED, {}
 
     def take(self, router, name, size, done):
         """done(end, note) once it is over; one that is not well ends each by its fault."""
@@ -29,7 +29,7 @@
             self.engine.after(NEAR, self.end, done, self.fault, 0)
         elif self.copies.find(name) is not None:
             self.hits += 1
-            self.link.carry(size, self.end, done, i.SATISFIED, i.FOUND)
+            self.link.carry(size, self.end, done, interface.SATISFIED, interface.FOUND)
         elif name in self.fills:  # joins the fill that is under way
             self.fills[name].append((size, done))
         else:
@@ -40,7 +40,9 @@
     def filled(self, name, size):
         self.copies.keep(name, size, self.engine.now)
         for n, (size, done) in enumerate(self.fills.pop(name)):
-            self.link.carry(size, self.end, done, i.SATISFIED, i.JOINED if n else i.FILLED)
+            self.link.carry(
+                size, self.end, done, interface.SATISFIED, interface.JOINED if n else interface.FILLED
+            )
 
     def end(self, done, end, note):
         self.out -= 1
--- a/benchmarks/spread/checks.py
+++ b/benchmarks/spread/checks.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from hookrouter import interface as i
+from hookrouter import interface
 from hookrouter.decisions.spread import Spread, SpreadTerms
 from hookrouter.decisions.spread.busy import MOST_MOVE, Busy
 from hookrouter.decisions.spread.shares import Shares
@@ -129,7 +129,7 @@
 
 def spread_wrong(make=Spread):
     spread = make(TERMS, ("r0", 1), 1, 0)
-    spread.listed(0, [i.Cache(c, "z", 0, 1.0, 0, i.READY, "box") for c in ALL])
+    spread.listed(0, [interface.Cache(c, "z", 0, 1.0, 0, interface.READY, "box") for c in ALL])
     for cache in ALL:
         spread.news(0, summary(cache, 10.0))
     before = spread.others("c1", 0)
--- a/benchmarks/spread/world.py
+++ b/benchmarks/spread/world.py
@@ -7,7 +7,7 @@
 from random import Random
 from typing import NamedTuple
 
-from hookrouter import interface as i
+from hookrouter import interface
 from hookrouter.control import Control
 from hookrouter.decisions.spread import spread_terms
 from hookrouter.lab.engine import Engine
@@ -52,11 +52,24 @@
 
 def terms_of(plan, number):
     kinds = (
-        i.ObjectKind(
-            "clip", BUDGET, 2.0, 4 * SECOND, 1.0, 0.1, i.IDEMPOTENT, i.EVERYWHERE, 0, 0, 0, 0.7, True, False
+        interface.ObjectKind(
+            "clip",
+            BUDGET,
+            2.0,
+            4 * SECOND,
+            1.0,
+            0.1,
+            interface.IDEMPOTENT,
+            interface.EVERYWHERE,
+            0,
+            0,
+            0,
+            0.7,
+            True,
+            False,
         ),
     )
-    top = i.Topology(
+    top = interface.Topology(
         number,
         plan.routers,
         "edge",
@@ -66,10 +79,10 @@
         (0, 0),
         "parent",
         "origin",
-        i.OWN_LOCATION,
+        interface.OWN_LOCATION,
         FLOW * SECOND,
     )
-    return i.Terms(
+    return interface.Terms(
         topology=top,
         kinds=kinds,
         must_subscribe=False,
@@ -117,16 +130,16 @@
         now = world.now()
         self.asked[self.count] = (now, name, size, 0)
         world.lookups += world.since <= now < world.until
-        self.decide(i.Lookup(self.count, "clip", name, 0, 1, size, now + 4 * SECOND, False))
+        self.decide(interface.Lookup(self.count, "clip", name, 0, 1, size, now + 4 * SECOND, False))
 
     def decide(self, event):
         self.world.current = self.control
         for effect in self.control.decide(self.world.now(), [event]):
-            if isinstance(effect, (i.Ask, i.Obtain)):
+            if isinstance(effect, (interface.Ask, interface.Obtain)):
                 self.send(effect)
-            elif isinstance(effect, i.SetAlarm):
-                self.world.engine.after(effect.delay, self.decide, i.Alarm(effect.token))
-            elif isinstance(effect, (i.Nack, i.Fail)):
+            elif isinstance(effect, interface.SetAlarm):
+                self.world.engine.after(effect.delay, self.decide, interface.Alarm(effect.token))
+            elif isinstance(effect, (interface.Nack, interface.Fail)):
                 self.asked.pop(effect.id, None)
 
     def send(self, effect):
@@ -139,14 +152,16 @@
     def done(self, effect, number, at):
         def ended(end, note):
             now, held = self.world.now(), self.asked.get(effect.id)
-            settled = end == i.SATISFIED
+            settled = end == interface.SATISFIED
             if settled and held is not None:
                 del self.asked[effect.id]
                 own = held[2] / FLOW
                 counts = self.world.since <= held[0] < self.world.until
                 self.world.served += counts and now - held[0] <= BUDGET + 2 * own
             self.decide(
-                i.SendEnd(effect.id, number, end, note, settled or held is None, now - at, effect.cache, None)
+                interface.SendEnd(
+                    effect.id, number, end, note, settled or held is None, now - at, effect.cache, None
+                )
             )
 
         return ended
@@ -170,9 +185,9 @@
         self.sizes = [plan.size * (0.5 + dice.random()) for _ in range(plan.names)]
         self.cumulative = list(accumulate((n + 1) ** -ZIPF for n in range(plan.names)))
         self.lines = (
-            *(i.Cache(name, "edge", 0, weight, 0, i.READY, "box") for name in names),
-            i.Cache("p0", "hub", 0, 500.0, 0, i.READY, "parent"),
-            i.Cache("o0", "hub", 0, 500.0, 0, i.READY, "origin"),
+            *(interface.Cache(name, "edge", 0, weight, 0, interface.READY, "box") for name in names),
+            interface.Cache("p0", "hub", 0, 500.0, 0, interface.READY, "parent"),
+            interface.Cache("o0", "hub", 0, 500.0, 0, interface.READY, "origin"),
         )
         self.members = [self.member(n) for n in range(plan.routers)]
         self.history = []  # (when, {cache: out}, {cache: started})
@@ -199,7 +214,7 @@
         control.told = told
         if way in ways.SPREADS:
             told.stands([f"r{n}" for n in range(self.plan.routers)])
-        control.decide(self.now(), [i.CacheList(i.REMEMBERED, self.lines)])
+        control.decide(self.now(), [interface.CacheList(interface.REMEMBERED, self.lines)])
         if told is not None:
             told.listed(self.now(), self.lines[:-2])
         return Member(self, n, control, told)
@@ -267,7 +282,7 @@
         self.engine.run(self.engine.now + int(seconds * SECOND))
 
 
-def found_again(plan, sick=4.0, fault=i.ERRED):
+def found_again(plan, sick=4.0, fault=interface.ERRED):
     """Seconds from when a cache is well again until it has half of its due for half a second; and sends
     wasted on it meanwhile.
     """
--- a/hookrouter/adapter/codec.py
+++ b/hookrouter/adapter/codec.py
@@ -1,26 +1,31 @@
 """Translates the wire's words and milliseconds to the interface's words and tenths, and back."""
 
-from .. import interface as i
+from .. import interface
 from ..terms import TENTHS, Malformed, down, flag, listed, number, shown, text, up, whole, word
 
 ENDS = {
-    "GOOD": i.SATISFIED,
-    "BAD": i.ERRED,
-    "FULL": i.FULL,
-    "LATE": i.LATE,
-    "NOCONN": i.UNREACHED,
-    "RST": i.BROKEN,
-    "CXL": i.CANCELLED,
-    "NOP": i.VOID,
-    "MISS": i.MISSING,
+    "GOOD": interface.SATISFIED,
+    "BAD": interface.ERRED,
+    "FULL": interface.FULL,
+    "LATE": interface.LATE,
+    "NOCONN": interface.UNREACHED,
+    "RST": interface.BROKEN,
+    "CXL": interface.CANCELLED,
+    "NOP": interface.VOID,
+    "MISS": interface.MISSING,
+}
+PHASES = {"on": interface.READY, "fading": interface.DRAINING, "off": interface.GONE}
+MODES = {
+    "update": interface.CHANGES,
+    "replace": interface.WHOLE,
+    "restored": interface.REMEMBERED,
+    "unavailable": interface.UNANSWERED,
 }
-PHASES = {"on": i.READY, "fading": i.DRAINING, "off": i.GONE}
-MODES = {"update": i.CHANGES, "replace": i.WHOLE, "restored": i.REMEMBERED, "unavailable": i.UNANSWERED}
 
 
 def read_cache(row):
     row = row + [None] * (7 - len(row))
-    return i.Cache(
+    return interface.Cache(
         id=text(row[4], "records.cache"),
         zone=text(row[1], "records.rackZone"),
         cell=whole(row[2], "records.stripe"),
@@ -48,16 +53,16 @@
 
 def read_peers(event, lists):
     mode = word(event[1], MODES, "peersKnown.mode")
-    if mode == i.UNANSWERED:
-        return i.CacheList(mode, ())
+    if mode == interface.UNANSWERED:
+        return interface.CacheList(mode, ())
     table = whole(event[2], "peersKnown.table")
     if table not in lists:
         raise Malformed(f"peersKnown.table: list {table} was never defined")
-    return i.CacheList(mode, lists[table])
+    return interface.CacheList(mode, lists[table])
 
 
 def read_lookup(event, _lists):
-    return i.Lookup(
+    return interface.Lookup(
         id=whole(event[1], "newRequest.corr"),
         kind=text(event[4], "newRequest.qos"),
         object=text(event[9], "newRequest.contentId"),
@@ -70,7 +75,7 @@
 
 
 def read_end(event, _lists):
-    return i.SendEnd(
+    return interface.SendEnd(
         id=whole(event[1], "result.corr"),
         send=whole(event[4], "result.hop"),
         end=word(event[2], ENDS, "result.outcome"),
@@ -86,23 +91,29 @@
 EVENTS = {
     "peersKnown": (3, read_peers),
     "newRequest": (9, read_lookup),
-    "streaming": (4, lambda e, _: i.Begun(whole(e[1], "streaming.corr"), whole(e[4], "streaming.hop"))),
+    "streaming": (
+        4,
+        lambda e, _: interface.Begun(whole(e[1], "streaming.corr"), whole(e[4], "streaming.hop")),
+    ),
     "result": (9, read_end),
-    "hangup": (1, lambda e, _: i.ClientGone(whole(e[1], "hangup.corr"))),
-    "reminder": (1, lambda e, _: i.Alarm(whole(e[1], "reminder.label"))),
+    "hangup": (1, lambda e, _: interface.ClientGone(whole(e[1], "hangup.corr"))),
+    "reminder": (1, lambda e, _: interface.Alarm(whole(e[1], "reminder.label"))),
     "probeResult": (
         4,
-        lambda e, _: i.ProbeEnd(
+        lambda e, _: interface.ProbeEnd(
             word(e[1], ENDS, "probeResult.outcome"),
             text(e[2], "probeResult.cache"),
             up(e[3], "probeResult.rtt"),
             read_report(e[4], "probeResult.telemetry"),
         ),
     ),
-    "whisper": (2, lambda e, _: i.Whisper(whole(e[1], "whisper.neighbour"), read_bytes(e[2], "whisper.msg"))),
+    "whisper": (
+        2,
+        lambda e, _: interface.Whisper(whole(e[1], "whisper.neighbour"), read_bytes(e[2], "whisper.msg")),
+    ),
     "replaced": (
         3,
-        lambda e, _: i.Purged(
+        lambda e, _: interface.Purged(
             down(e[1], "replaced.howOld"),
             whole(e[2], "replaced.group"),
             None if e[3] is None else text(e[3], "replaced.contentId"),
@@ -125,16 +136,16 @@
 
 
 WRITERS = {
-    i.Ask: lambda e: ["submitTo", e.id, e.wait / TENTHS, e.cache],
-    i.Obtain: write_obtain,
-    i.Nack: lambda e: ["pushBack", e.id, e.stay_away / TENTHS],
-    i.Fail: lambda e: ["endFailed", e.id],
-    i.Cancel: lambda e: ["stopAttempt", e.id, e.send],
-    i.SetAlarm: lambda e: ["setAlarm", e.delay / TENTHS, e.token],
-    i.Subscribe: lambda e: ["keepInformed", e.wanted],
-    i.Probe: lambda e: ["inspect", e.cache],
-    i.Tell: lambda e: ["writePeer", e.router, e.text.hex()],
-    i.Log: lambda e: ["log", e.text],
+    interface.Ask: lambda e: ["submitTo", e.id, e.wait / TENTHS, e.cache],
+    interface.Obtain: write_obtain,
+    interface.Nack: lambda e: ["pushBack", e.id, e.stay_away / TENTHS],
+    interface.Fail: lambda e: ["endFailed", e.id],
+    interface.Cancel: lambda e: ["stopAttempt", e.id, e.send],
+    interface.SetAlarm: lambda e: ["setAlarm", e.delay / TENTHS, e.token],
+    interface.Subscribe: lambda e: ["keepInformed", e.wanted],
+    interface.Probe: lambda e: ["inspect", e.cache],
+    interface.Tell: lambda e: ["writePeer", e.router, e.text.hex()],
+    interface.Log: lambda e: ["log", e.text],
 }
 
 
--- a/hookrouter/caches/errands.py
+++ b/hookrouter/caches/errands.py
@@ -3,18 +3,18 @@
 from typing import NamedTuple
 from urllib.parse import quote
 
-from .. import interface as i
+from .. import interface
 from ..parsers import http1
 from ..terms import TENTHS
 
 MOST_DIGITS = 15  # of a time in milliseconds: years have 13
 LONGEST_BODY = 240_000  # bytes, of any object's part
 NOTES = {
-    b"hit": i.FOUND,
-    b"filled": i.FILLED,
-    b"via_origin": i.FROM_ORIGIN,
-    b"joined": i.JOINED,
-    b"stale": i.AGED,
+    b"hit": interface.FOUND,
+    b"filled": interface.FILLED,
+    b"via_origin": interface.FROM_ORIGIN,
+    b"joined": interface.JOINED,
+    b"stale": interface.AGED,
 }
 
 
@@ -100,11 +100,13 @@
 def read_ended(answer, pieces, length, names):
     """What a whole answer says; names: the fields of load reports, where these come at all."""
     declined = answer.fields.get(b"x-declined") == b"1"
-    end = {200: i.SATISFIED, 304: i.SATISFIED, 404: i.MISSING}.get(answer.status, i.ERRED)
+    end = {200: interface.SATISFIED, 304: interface.SATISFIED, 404: interface.MISSING}.get(
+        answer.status, interface.ERRED
+    )
     if declined and answer.status == 503:
-        end = i.FULL
+        end = interface.FULL
     elif declined and answer.status == 504:
-        end = i.VOID
+        end = interface.VOID
     since, tags = read_since(answer), answer.fields.get(b"x-tags")
     return Ended(
         end,
--- a/hookrouter/caches/pool.py
+++ b/hookrouter/caches/pool.py
@@ -7,7 +7,7 @@
 
 from collections import deque
 
-from .. import interface as i
+from .. import interface
 from ..tables.slots import Slots
 from ..terms import SECOND
 from . import errands
@@ -88,7 +88,7 @@
     def _nowhere(self):
         """A send to a cache that was forgotten since it was picked: it never leaves."""
         send = Send(self, None, ())
-        send.deadline = self.deadlines.after(0, self.give_up, send, i.VOID)
+        send.deadline = self.deadlines.after(0, self.give_up, send, interface.VOID)
         return send
 
     def _go(self, send, within, leave_within):
@@ -126,9 +126,9 @@
         """The one place where a request leaves: none does that nobody waits for, nor past its last moment."""
         connection.send, send.connection = send, connection
         if send.leave_by is not None and self.deadlines.due(send.leave_by, 0):
-            self.give_up(send, i.UNREACHED)
+            self.give_up(send, interface.UNREACHED)
         elif not send.wanted():
-            self.give_up(send, i.CANCELLED)
+            self.give_up(send, interface.CANCELLED)
         else:
             send.written = True
             self.deadlines.drop(send.leave_by)
@@ -139,9 +139,9 @@
         if send.written and send.ended is None:
             send.connection.catch_up()  # an answer that came in time may lie unread
         if send.written:
-            end = i.LATE
+            end = interface.LATE
         else:  # it never left: for want of a descriptor, or of an answer to the connection
-            end = i.VOID if send.connection is None else i.UNREACHED
+            end = interface.VOID if send.connection is None else interface.UNREACHED
         self.give_up(send, end)
 
     def give_up(self, send, end):
@@ -174,7 +174,7 @@
             self._put(connection.send, connection)
 
     def _not_left(self, send):
-        self.give_up(send, i.VOID if send.connection is None else i.UNREACHED)
+        self.give_up(send, interface.VOID if send.connection is None else interface.UNREACHED)
 
     def went_down(self, connection):
         """The one place where a connection's descriptor is given back."""
@@ -183,7 +183,9 @@
         connection.transport = connection.connector = None
         send = connection.send
         if send is not None:
-            send.ended = send.ended or errands.Ended(i.BROKEN if send.written else i.UNREACHED)
+            send.ended = send.ended or errands.Ended(
+                interface.BROKEN if send.written else interface.UNREACHED
+            )
             self._finish(send)
         while self.waiting and len(self.connections) < self.connections.size:
             self._start(self.waiting.popleft())
@@ -203,7 +205,7 @@
 
     def lost_answer(self, connection):
         if connection.send is not None:
-            self.give_up(connection.send, i.BROKEN)
+            self.give_up(connection.send, interface.BROKEN)
         else:
             connection.close()
 
--- a/hookrouter/caches/send.py
+++ b/hookrouter/caches/send.py
@@ -2,7 +2,7 @@
 
 from twisted.internet.defer import Deferred
 
-from .. import interface as i
+from .. import interface
 from ..terms import SECOND
 
 
@@ -55,4 +55,4 @@
         if self.caches.deadlines.due(self.deadline, 1 / SECOND):
             self.caches.overdue(self)
         else:
-            self.caches.give_up(self, i.CANCELLED)
+            self.caches.give_up(self, interface.CANCELLED)
--- a/hookrouter/control/copies.py
+++ b/hookrouter/control/copies.py
@@ -1,6 +1,6 @@
 """Copies of the router's own: what is kept of answers, and which lookups they satisfy."""
 
-from .. import interface as i
+from .. import interface
 from ..tables.kept import Kept
 from .purges import PURGE_SLACK
 
@@ -26,24 +26,24 @@
             return False
         self.free = free
         self.kept.used(lk.own)
-        self.b.say(i.Give(lk.id))
+        self.b.say(interface.Give(lk.id))
         return True
 
     def keep(self, lk, end):
         """Never what a purge has told to be old, though it may have been sent for before."""
         kind = self.kinds[lk.kind]
-        if end.copy is None or not self.room or kind.effect != i.IDEMPOTENT or kind.write:
+        if end.copy is None or not self.room or kind.effect != interface.IDEMPOTENT or kind.write:
             return
         made, size = end.copy
         purged = self.purges.newest(lk) + PURGE_SLACK
         if made <= max(purged, self.purges.guarded(lk)) or size > self.room * OWN_LARGEST:
             return
         self._drop(self.kept.put(lk.own, made, size, lk.group))
-        self.b.say(i.Keep(lk.id, end.send))
+        self.b.say(interface.Keep(lk.id, end.send))
 
     def purge(self, name, made):
         self._drop(self.kept.purge(name, made + PURGE_SLACK))
 
     def _drop(self, gone):
         for own in gone:
-            self.b.say(i.Drop(*own))
+            self.b.say(interface.Drop(*own))
--- a/hookrouter/control/learning.py
+++ b/hookrouter/control/learning.py
@@ -1,6 +1,6 @@
 """What the end of a send tells: of its cache, of its source, of times, and of answers lost on the way."""
 
-from .. import interface as i
+from .. import interface
 from .health import BAD, GOOD
 from .times import BLEND
 
@@ -41,40 +41,48 @@
 
     def ended(self, sent, end):
         c, windows, word, fills = self.c, self.windows, end.end, sent.via is not None
-        if word not in (i.UNREACHED, i.BROKEN, i.LATE, i.CANCELLED, i.VOID):
+        if word not in (
+            interface.UNREACHED,
+            interface.BROKEN,
+            interface.LATE,
+            interface.CANCELLED,
+            interface.VOID,
+        ):
             c.health.answers(sent.target)
             if c.cold.lost[sent.target]:
                 c.cold.start(sent.target, c.now)
         # Nothing came from there since the send went out; and what the answer tells of the copy.
         mute, dry = (n is not None and c.heard[n] < sent.at for n in (sent.target, sent.source))
-        if word == i.FULL and fills:
+        if word == interface.FULL and fills:
             windows.slide(sent.via, True)
             windows.turn(True)
         self._weigh(sent, end, mute, fills)
-        stray = word == i.LATE and self.stray()
-        if word == i.LATE and not mute:
+        stray = word == interface.LATE and self.stray()
+        if word == interface.LATE and not mute:
             self._miss(sent)
-        if word == i.SATISFIED:
+        if word == interface.SATISFIED:
             return self._satisfied(sent, end, fills)
-        if word == i.LATE and sent.limited and not stray:  # backing off: it takes longer than that
+        if word == interface.LATE and sent.limited and not stray:  # backing off: it takes longer than that
             self.times.took(sent.kind, 2 * end.took - sent.work)
-        if word == i.MISSING:
+        if word == interface.MISSING:
             c.health.told(sent.target, GOOD)  # it answers, though it lacks the object
         # Both are blamed: what goes well clears the one not at fault. Time-outs beside answers are a crowd's.
-        failed = word in (i.ERRED, i.UNREACHED, i.BROKEN) or (word == i.LATE and mute)
-        if failed or (word == i.FULL and not fills):
+        failed = word in (interface.ERRED, interface.UNREACHED, interface.BROKEN) or (
+            word == interface.LATE and mute
+        )
+        if failed or (word == interface.FULL and not fills):
             c.health.told(sent.target, BAD)
         # Silent in a row: it may have died. The list tells seconds late; what answers again counts as cold.
         silent = c.now - c.heard[sent.target] > SILENCE and c.health.trickle[sent.target] is not None
-        if silent and word in (i.UNREACHED, i.BROKEN, i.LATE):
+        if silent and word in (interface.UNREACHED, interface.BROKEN, interface.LATE):
             c.cold.lost[sent.target] = True
-        waited = word == i.LATE and not stray and (dry or not windows.tells_hits)
-        if fills and not windows.crowd() and (waited or word in (i.ERRED, i.FULL)):
+        waited = word == interface.LATE and not stray and (dry or not windows.tells_hits)
+        if fills and not windows.crowd() and (waited or word in (interface.ERRED, interface.FULL)):
             c.health.told(sent.source, BAD)
 
     def _satisfied(self, sent, end, fills):
         times, k, late = self.times, sent.kind, end.took > self.times.budget(sent)
-        found = end.note in (i.FOUND, i.AGED)
+        found = end.note in (interface.FOUND, interface.AGED)
         # A hit tells little of the source; where hits are not told, a quick answer passes for one.
         hit = found if self.windows.tells_hits else end.took - sent.work < times.average[k]
         if fills and not sent.missed and not (late and self.c.health.stalls(sent)):
@@ -89,22 +97,25 @@
         if sent.work or (sent.calm and (not fills or found)):  # else a crowd's wait would pass for sending
             times.worked(k, sent.work or end.took)
         self.c.health.told(sent.target, GOOD)
-        if fills and (not self.windows.tells_hits or end.note in (i.FILLED, i.FROM_ORIGIN, i.JOINED)):
+        if fills and (
+            not self.windows.tells_hits
+            or end.note in (interface.FILLED, interface.FROM_ORIGIN, interface.JOINED)
+        ):
             self.c.health.told(sent.source, GOOD)
             self.c.health.answers(sent.source)
 
     def _weigh(self, sent, end, mute, fills):
         """Answers lost, or a crowd, which is late before it is silent? Wald's sequential test (1945)."""
-        silent = end.end == i.LATE
-        if fills and not mute and end.end in (i.SATISFIED, i.LATE):
+        silent = end.end == interface.LATE
+        if fills and not mute and end.end in (interface.SATISFIED, interface.LATE):
             self.silent += BLEND * (silent - self.silent)
         if silent and (mute or (fills and (sent.via == self.mute_via or self.silent > ASTRAY_FILLS))):
             return  # a cache or a source that is gone tells only of itself
         if silent and fills:
             self.mute_via = sent.via
-        late = end.end == i.SATISFIED and end.took > self.times.budget(sent)
-        sign = SILENT if silent else TARDY if late or (fills and end.end == i.FULL) else PROMPT
-        if silent or end.end in (i.SATISFIED, i.MISSING) or sign == TARDY:
+        late = end.end == interface.SATISFIED and end.took > self.times.budget(sent)
+        sign = SILENT if silent else TARDY if late or (fills and end.end == interface.FULL) else PROMPT
+        if silent or end.end in (interface.SATISFIED, interface.MISSING) or sign == TARDY:
             self.astray = min(ASTRAY_MOST, max(-ASTRAY_MOST, self.astray + NATS[sign, fills]))
 
     def stray(self):
--- a/hookrouter/control/lookups.py
+++ b/hookrouter/control/lookups.py
@@ -1,6 +1,6 @@
 """The life of a lookup: a table of states and inputs, the loop that reads it, and its effects."""
 
-from .. import interface as i
+from .. import interface
 from ..tables.beliefs import Sent
 from .times import LEAST_WAIT
 
@@ -76,12 +76,12 @@
         # Where sizes are not told its budget is not known before its end.
         c.begin(lk, sent, c.now + int(c.times.budget(sent)) if lk.work else None)
         if source is None or target in c.origins:
-            c.say(i.Ask(lk.id, c.ids[target], wait, leave))
+            c.say(interface.Ask(lk.id, c.ids[target], wait, leave))
         else:
             ids, oldest, held = (lk.id, c.ids[target], c.ids[source]), c.purges.oldest(lk), lk.hits_only
             rank, joins = int(edge and not kind.write), self.terms.joins and not held
             renews = edge and via is not None and kind.fresh > 0
-            c.say(i.Obtain(*ids, wait, oldest, rank, joins, held, False, renews, leave))
+            c.say(interface.Obtain(*ids, wait, oldest, rank, joins, held, False, renews, leave))
         return SENT
 
     def _give_up(self, lk):
@@ -91,16 +91,16 @@
         if self.c.rules.nackable(lk):
             # Not all at once: clients nacked together would come back together.
             stay_away = self.c.dice.randint(self.stay_away // 2, self.stay_away)
-            self.c.say(i.Nack(lk.id, stay_away, lk.why))
+            self.c.say(interface.Nack(lk.id, stay_away, lk.why))
         else:
-            self.c.say(i.Fail(lk.id, lk.why))
+            self.c.say(interface.Fail(lk.id, lk.why))
         return self._settle(lk)
 
     def _settle(self, lk):
         del self.c.held[lk.id]
         for number in range(lk.sends if self.terms.may_cancel else 0):
             if (lk.id, number) in self.c.sent:
-                self.c.say(i.Cancel(lk.id, number))
+                self.c.say(interface.Cancel(lk.id, number))
 
 
 # state, input -> next state, effect; an effect may hand back a further input.
--- a/hookrouter/control/router.py
+++ b/hookrouter/control/router.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from .. import interface as i
+from .. import interface
 from ..tables.beliefs import Beliefs, Held
 from . import cold, copies, health, learning, placing, purges, rules, times, windows
 from .lookups import ARRIVED, DUE, FAILED, NEW, OVERRUN, SETTLED, Lookups
@@ -36,18 +36,18 @@
 
     def _on_list(self, news):
         top = self.terms.topology
-        if news.mode == i.UNANSWERED:  # the subscription failed: again, not all routers at once
+        if news.mode == interface.UNANSWERED:  # the subscription failed: again, not all routers at once
             return self.alarm(self.dice.randint(ASK_AGAIN // 2, ASK_AGAIN), (None, UNHEARD))
-        if news.mode == i.REMEMBERED and self.terms.must_subscribe:
-            self.say(i.Subscribe(True))
-        if news.mode != i.CHANGES:
+        if news.mode == interface.REMEMBERED and self.terms.must_subscribe:
+            self.say(interface.Subscribe(True))
+        if news.mode != interface.CHANGES:
             self.keep_only(news.caches)
         for cache in news.caches:
             n = self.row(cache)
             self.weight[n], self.phase[n] = max(cache.weight, WEIGHT_LEAST), cache.phase
             if cache.born > self.cold.born[n]:
-                self.cold.start(n, cache.born, news.mode == i.REMEMBERED)
-        ready = [n for n in range(len(self.ids)) if self.phase[n] == i.READY]
+                self.cold.start(n, cache.born, news.mode == interface.REMEMBERED)
+        ready = [n for n in range(len(self.ids)) if self.phase[n] == interface.READY]
         self.origins = [n for n in ready if self.sort[n] == top.origin_sort]
         self.parents = [n for n in ready if self.sort[n] == top.parent_sort and n not in self.origins]
         upper = top.origin_sort, top.parent_sort
@@ -58,7 +58,7 @@
     def _on_lookup(self, lk):
         kind = self.kinds.get(lk.kind)
         if kind is None:
-            return self.say(i.Fail(lk.id, "kind"))
+            return self.say(interface.Fail(lk.id, "kind"))
         held = self.held[lk.id] = Held(lk, kind, self.terms.topology.flow, NEW)
         self.alarm(max(0, lk.due - self.now), (lk.id, DUE))
         self.lookups.step(held, ARRIVED)
@@ -66,7 +66,7 @@
     def _on_alarm(self, alarm):
         lk_id, word = self.ring(alarm.token)
         if word == UNHEARD:
-            self.say(i.Subscribe(True))
+            self.say(interface.Subscribe(True))
         lk = self.held.get(lk_id)
         if lk is not None and (word == DUE or (lk_id, word) in self.sent):
             self.lookups.step(lk, DUE if word == DUE else OVERRUN)
@@ -77,12 +77,12 @@
             self.learning.ended(sent, end)
         if lk is None:
             return
-        if end.end in i.NEVER_RAN:
+        if end.end in interface.NEVER_RAN:
             lk.doubts.pop(end.send, None)
-        if end.end == i.LATE and sent is not None and sent.limited:
+        if end.end == interface.LATE and sent is not None and sent.limited:
             lk.overruns += 1
         self.copies.keep(lk, end)
-        lk.refused |= end.end == i.FULL and sent is not None and sent.via is not None
+        lk.refused |= end.end == interface.FULL and sent is not None and sent.via is not None
         self.lookups.step(lk, SETTLED if end.settled else FAILED)
 
     def _on_gone(self, gone):
@@ -96,6 +96,16 @@
         self.copies.purge(name, made)
 
 
-HANDLERS = {i.CacheList: Control._on_list, i.Lookup: Control._on_lookup, i.Alarm: Control._on_alarm}
-HANDLERS |= {i.SendEnd: Control._on_end, i.ClientGone: Control._on_gone, i.Purged: Control._on_purge}
-HANDLERS |= dict.fromkeys((i.Begun, i.ProbeEnd, i.Whisper), lambda control, event: None)  # not asked for yet
+HANDLERS = {
+    interface.CacheList: Control._on_list,
+    interface.Lookup: Control._on_lookup,
+    interface.Alarm: Control._on_alarm,
+}
+HANDLERS |= {
+    interface.SendEnd: Control._on_end,
+    interface.ClientGone: Control._on_gone,
+    interface.Purged: Control._on_purge,
+}
+HANDLERS |= dict.fromkeys(
+    (interface.Begun, interface.ProbeEnd, interface.Whisper), lambda control, event: None
+)  # not asked for yet
--- a/hookrouter/control/rules.py
+++ b/hookrouter/control/rules.py
@@ -1,6 +1,6 @@
 """No effect twice: what may be sent once more, and what may be nacked, given what may have run."""
 
-from .. import interface as i
+from .. import interface
 
 MEMORY_MARGIN = 500  # 50 ms: a repeat must reach the group before it forgets
 SPARE = 200  # 20 ms between the last moment to leave and what forbids it
@@ -14,7 +14,7 @@
     def leaves_within(self, lk):
         """So long may it wait to leave: by then what it names may drain, or its group forget the first."""
         kind, now = self.kinds[lk.kind], self.b.now
-        firsts = () if kind.effect == i.IDEMPOTENT else lk.doubts.values()
+        firsts = () if kind.effect == interface.IDEMPOTENT else lk.doubts.values()
         return min([self.soon, *(when + kind.remembered - MEMORY_MARGIN - now for when, _ in firsts)])
 
     def admissible(self, lk, target):
@@ -22,13 +22,13 @@
         b, kind = self.b, self.kinds[lk.kind]
         if not self.pairs and any((lk.id, number) in b.sent for number in lk.doubts):
             return False
-        if not lk.doubts or kind.effect == i.IDEMPOTENT:
+        if not lk.doubts or kind.effect == interface.IDEMPOTENT:
             return True
-        group = {i.SAME_ZONE: b.where, i.SAME_CELL: b.cell}.get(kind.dropped_at)
+        group = {interface.SAME_ZONE: b.where, interface.SAME_CELL: b.cell}.get(kind.dropped_at)
         same = group is None or all(group[first] == group[target] for _, first in lk.doubts.values())
         return same and self.leaves_within(lk) > 0
 
     def nackable(self, lk):
         kind = self.kinds[lk.kind]
-        everywhere = kind.effect == i.DEDUPLICATED and kind.dropped_at == i.EVERYWHERE
-        return not lk.doubts or kind.effect == i.IDEMPOTENT or everywhere
+        everywhere = kind.effect == interface.DEDUPLICATED and kind.dropped_at == interface.EVERYWHERE
+        return not lk.doubts or kind.effect == interface.IDEMPOTENT or everywhere
--- a/hookrouter/feed/events.py
+++ b/hookrouter/feed/events.py
@@ -3,11 +3,11 @@
 import json
 from typing import NamedTuple
 
-from .. import interface as i
+from .. import interface
 from .. import terms
 from ..terms import Malformed
 
-PHASES = {"active": i.READY, "leaving": i.DRAINING, "left": i.GONE}
+PHASES = {"active": interface.READY, "leaving": interface.DRAINING, "left": interface.GONE}
 
 
 class Listed(NamedTuple):
@@ -33,7 +33,7 @@
 
 def read_cache(row):
     row = terms.Stated(row, "endpoints")
-    cache = i.Cache(
+    cache = interface.Cache(
         id=row.get("name", terms.text),
         zone=row.get("zone", terms.text),
         cell=row.get("group", terms.whole),
--- a/hookrouter/fleet/member/spread.py
+++ b/hookrouter/fleet/member/spread.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from ... import interface as i
+from ... import interface
 from ...decisions.spread import Spread, spread_terms
 from ...decisions.spread.words import TOPIC, Started
 from ...feed.purges import steady
@@ -90,7 +90,7 @@
         """Lines of the list as Control has them, those that changed; a start that it took for one, too."""
         control, lines = self.control, {}
         for name, n in control.index.items():
-            lines[name] = i.Cache(
+            lines[name] = interface.Cache(
                 name,
                 control.where[n],
                 0,
@@ -102,7 +102,7 @@
         here = [line for line in lines.values() if self._meets(line)]
         changed = [line for line in here if self.lines.get(line.id) != line]
         gone = [
-            line._replace(phase=i.GONE)
+            line._replace(phase=interface.GONE)
             for name, line in self.lines.items()
             if name not in lines or not self._meets(lines[name])
         ]
@@ -114,7 +114,7 @@
         """Whether this router sends there: what drains, too, has none of it."""
         terms = self.spread.terms
         return (
-            line.phase == i.READY
+            line.phase == interface.READY
             and line.sort != terms.origin_sort
             and (line.zone == terms.zone or line.sort == terms.parent_sort)
         )
--- a/hookrouter/fleet/member/warmed.py
+++ b/hookrouter/fleet/member/warmed.py
@@ -1,6 +1,6 @@
 """One warming under way in this member: the table's effects carried out, each fill under a live warrant."""
 
-from ... import interface as i
+from ... import interface
 from ...caches.errands import Errand
 from ...decisions.warming import Allowance, Borrowed, Doors, Scene, Strain, Warming
 from ...decisions.warming import steps as s
@@ -33,7 +33,7 @@
         self.doors.work = 1 / self.flow
         self.kinds = {
             kind.name: Kind(
-                kind.effect == i.IDEMPOTENT and not kind.write,
+                kind.effect == interface.IDEMPOTENT and not kind.write,
                 PARTS if kind.in_parts else WHOLE,
                 kind.fresh,
                 kind.utility,
@@ -65,7 +65,7 @@
             self._warm(now),
             heed.parents(now),
             self.kinds,
-            self.router.terms.topology.siblings != i.NO_SIBLINGS,
+            self.router.terms.topology.siblings != interface.NO_SIBLINGS,
             past or before,
             self.warmer.section["room"] or 0,
         )
@@ -83,7 +83,7 @@
         row, now = self.heed.caches.get(self.cache), self.warmer.now()
         if row is None:
             self.take(w.Over(w.LEFT))
-        elif row.phase != i.READY:
+        elif row.phase != interface.READY:
             self.take(w.Over(w.DRAINED))
         elif self.allowance is not None and row.born > self.allowance.born:
             self.take(w.Over(w.FELL))  # it started anew: that is another warming
@@ -184,10 +184,10 @@
     def _ended(self, ended, effect):
         if ended.refused:
             end = w.OLD_NUMBER
-        elif ended.end != i.SATISFIED:
+        elif ended.end != interface.SATISFIED:
             end = w.FAILED
         else:
-            end = w.HELD_ALREADY if ended.note == i.FOUND else w.FILLED
+            end = w.HELD_ALREADY if ended.note == interface.FOUND else w.FILLED
         self.warmer.count("warming_" + end.replace(" ", "_"))
         self.take(w.Ended(effect.name, end))
 
--- a/hookrouter/node/counters.py
+++ b/hookrouter/node/counters.py
@@ -1,9 +1,19 @@
 """Counts of what is taken in, sent and answered: stable names, one line each."""
 
-from .. import interface as i
+from .. import interface
 
 ENDS = ("satisfied", "nacked", "failed", "given_up")  # of a lookup; with those held they make up the taken
-SENDS = (i.SATISFIED, i.ERRED, i.FULL, i.LATE, i.UNREACHED, i.BROKEN, i.CANCELLED, i.VOID, i.MISSING)
+SENDS = (
+    interface.SATISFIED,
+    interface.ERRED,
+    interface.FULL,
+    interface.LATE,
+    interface.UNREACHED,
+    interface.BROKEN,
+    interface.CANCELLED,
+    interface.VOID,
+    interface.MISSING,
+)
 WHYS = ("fenced", "fills", "time", "sends", "caches", "effect", "kind")  # why the module gave lookups up
 PLAIN = (
     "clients_connected",
--- a/hookrouter/node/effects.py
+++ b/hookrouter/node/effects.py
@@ -2,7 +2,7 @@
 
 from functools import partial
 
-from .. import interface as i
+from .. import interface
 from ..caches import Errand
 
 
@@ -45,7 +45,7 @@
         asked.seen,
         asked.body,
         effect.wait,
-        once=router.kinds[asked.kind].effect != i.IDEMPOTENT,
+        once=router.kinds[asked.kind].effect != interface.IDEMPOTENT,
         **ways,
     )
     began, source = router.now(), ways.get("source")
@@ -70,10 +70,10 @@
         router.tally.ended(cache, source, ended.end, router.now() - began)
     if router.heed is not None:
         router.heed.answered(ended.end, lookup.asked, router.now() - began)
-    if router.purges is not None and ended.end == i.SATISFIED:
+    if router.purges is not None and ended.end == interface.SATISFIED:
         ended = router.purges.checked(ended, lookup.asked, began)
     router.counters.send_ended(ended.end)
-    if ended.end == i.SATISFIED and not lookup.ended:
+    if ended.end == interface.SATISFIED and not lookup.ended:
         if ended.unchanged:
             router.answer(lookup, "satisfied", router.front.unchanged)
         else:
@@ -81,11 +81,11 @@
     else:
         router.let_go(lookup)
     copy = None
-    if ended.made is not None and ended.end == i.SATISFIED:
+    if ended.made is not None and ended.end == interface.SATISFIED:
         copy = ended.made, ended.length
         router.brought[lookup.number, n] = lookup.asked, ended
     router.tell(
-        i.SendEnd(
+        interface.SendEnd(
             lookup.number,
             n,
             ended.end,
@@ -149,18 +149,20 @@
 
 
 def set_alarm(router, effect):
-    router.deadlines.after(router.until(effect.delay), router.tell, i.Alarm(effect.token))
+    router.deadlines.after(router.until(effect.delay), router.tell, interface.Alarm(effect.token))
 
 
 def subscribe(router, effect):
     """The feed is always followed; what was missed has come or comes by it."""
-    router.tell(i.CacheList(i.CHANGES, ()))
+    router.tell(interface.CacheList(interface.CHANGES, ()))
 
 
 def probe(router, effect):
     began = router.now()
     router.caches.probe(effect.cache).deferred.addCallback(
-        lambda ended: router.tell(i.ProbeEnd(ended.end, effect.cache, router.now() - began, ended.report))
+        lambda ended: router.tell(
+            interface.ProbeEnd(ended.end, effect.cache, router.now() - began, ended.report)
+        )
     )
 
 
@@ -173,17 +175,17 @@
 
 
 EFFECTS = {
-    i.Ask: ask,
-    i.Obtain: obtain,
-    i.Nack: nack,
-    i.Fail: fail,
-    i.Keep: keep,
-    i.Drop: drop,
-    i.Give: give,
-    i.Cancel: cancel,
-    i.SetAlarm: set_alarm,
-    i.Subscribe: subscribe,
-    i.Probe: probe,
-    i.Tell: no_way,
-    i.Log: log,
+    interface.Ask: ask,
+    interface.Obtain: obtain,
+    interface.Nack: nack,
+    interface.Fail: fail,
+    interface.Keep: keep,
+    interface.Drop: drop,
+    interface.Give: give,
+    interface.Cancel: cancel,
+    interface.SetAlarm: set_alarm,
+    interface.Subscribe: subscribe,
+    interface.Probe: probe,
+    interface.Tell: no_way,
+    interface.Log: log,
 }
--- a/hookrouter/node/heed.py
+++ b/hookrouter/node/heed.py
@@ -3,7 +3,7 @@
 On a lookup's path it costs one look-up in a table. It decides nothing.
 """
 
-from .. import interface as i
+from .. import interface
 from ..decisions.warming import Purged, Sketch
 from ..decisions.warming.sketch import HALVED_EVERY
 from ..terms import SECOND
@@ -26,8 +26,8 @@
         self.on_list = self.on_late = self.on_sent = None
         control, now = router.control, router.now()
         for name, n in control.index.items():  # what was known at the start came before this was there
-            if control.phase[n] != i.GONE:
-                cache = self.caches[name] = i.Cache(
+            if control.phase[n] != interface.GONE:
+                cache = self.caches[name] = interface.Cache(
                     name,
                     control.where[n],
                     control.cell[n],
@@ -41,7 +41,7 @@
     def asked(self, asked, now):
         """A lookup came from a client."""
         kind = self.router.kinds[asked.kind]
-        if kind.effect != i.IDEMPOTENT or kind.write:
+        if kind.effect != interface.IDEMPOTENT or kind.write:
             return
         size = int(asked.size * BYTES)
         if size:
@@ -59,7 +59,7 @@
         if event.whole:
             self.caches = {}
         for cache in event.caches:
-            if cache.phase == i.GONE:
+            if cache.phase == interface.GONE:
                 self.caches.pop(cache.id, None)
             else:
                 self.caches[cache.id] = cache
@@ -90,7 +90,7 @@
         kind = self.router.kinds[asked.kind]
         if self.on_late is not None and not kind.write:
             pure = (asked.size * BYTES or self.mean) / (self.terms.topology.flow / 10)
-            self.on_late(end == i.LATE or took > kind.latency_budget + kind.budget_stretch * pure)
+            self.on_late(end == interface.LATE or took > kind.latency_budget + kind.budget_stretch * pure)
 
     # ---- asked by the executor
 
@@ -110,7 +110,7 @@
                 name
                 for name, one in self.caches.items()
                 if one.zone == zone
-                and one.phase == i.READY
+                and one.phase == interface.READY
                 and one.sort not in (top.parent_sort, top.origin_sort)
                 and not (settled and self.since.get(name, 0) > now - PAST)
             )
@@ -122,7 +122,7 @@
                 name
                 for name, one in self.caches.items()
                 if one.sort == self.terms.topology.parent_sort
-                and one.phase == i.READY
+                and one.phase == interface.READY
                 and not self.cold(one, now)
             )
         )
--- a/hookrouter/node/purging.py
+++ b/hookrouter/node/purging.py
@@ -7,7 +7,7 @@
 
 from twisted.internet.defer import Deferred
 
-from .. import interface as i
+from .. import interface
 from ..feed.purges import PurgeFeed
 from ..feed.purges import steady as boot_time
 from ..purges import Guard
@@ -41,7 +41,7 @@
         self.steady = steady or boot_time
         self.router, self.log, self.count = router, log, count
         self.judged = frozenset(
-            kind.name for kind in start.terms.kinds if kind.effect == i.IDEMPOTENT and not kind.write
+            kind.name for kind in start.terms.kinds if kind.effect == interface.IDEMPOTENT and not kind.write
         )
         tags = None if start.tags is None else Listed(start.tags)
         self.guard = Guard(purge_terms(purges), tags, self.judged)
@@ -149,7 +149,7 @@
             now, began, asked.kind, asked.object, asked.group, ended.since, tags
         ):
             self.count("copies_refused")
-            return ended._replace(end=i.MISSING, pieces=(), length=0, made=None)
+            return ended._replace(end=interface.MISSING, pieces=(), length=0, made=None)
         return ended
 
     def held(self):
--- a/hookrouter/node/router.py
+++ b/hookrouter/node/router.py
@@ -5,7 +5,7 @@
 from collections import deque
 from math import inf
 
-from .. import interface as i
+from .. import interface
 from ..caches import Caches
 from ..control import Control
 from ..control.lookups import DUE
@@ -116,19 +116,19 @@
             self.log("decision code failed", traceback.format_exc())
             # What it had said before it failed counts; the lookups concerned are owed their answers.
             concerned = self._concerned(event)
-            effects = [*self.control.effects, *map(i.Fail, concerned)]
-            self.inputs.extend(map(i.ClientGone, concerned))
+            effects = [*self.control.effects, *map(interface.Fail, concerned)]
+            self.inputs.extend(map(interface.ClientGone, concerned))
         if self.trace is not None:
-            asked = self.lookups.get(event.id).asked if isinstance(event, i.Lookup) else None
+            asked = self.lookups.get(event.id).asked if isinstance(event, interface.Lookup) else None
             self.trace.decided(self.decided, event, effects, self.control, asked and asked.trace)
         for effect in effects:
             EFFECTS[type(effect)](self, effect)
-        if isinstance(event, i.SendEnd):
+        if isinstance(event, interface.SendEnd):
             self.brought.pop((event.id, event.send), None)
 
     def _concerned(self, event):
         """Those whom nobody will answer now: the event's own, or, with an alarm lost, all that are due."""
-        own = event.id if isinstance(event, (i.Lookup, i.SendEnd)) else None
+        own = event.id if isinstance(event, (interface.Lookup, interface.SendEnd)) else None
         return [
             lookup.number
             for lookup in self.lookups.held()
@@ -151,7 +151,7 @@
             self.count("calls_of_unknown_kind")
             self.front.failed(call, "unknown kind")
             return
-        if kind.effect == i.DEDUPLICATED and asked.key is None:  # nobody would know a repeat by it
+        if kind.effect == interface.DEDUPLICATED and asked.key is None:  # nobody would know a repeat by it
             self.log("client left out the key of a deduplicated lookup, failed")
             self.count("keys_missing")
             self.front.failed(call, "replay is missing")
@@ -174,7 +174,7 @@
         self.by_call[call] = lookup.number
         self.traces.add(asked.trace)
         self.tell(
-            i.Lookup(
+            interface.Lookup(
                 lookup.number,
                 asked.kind,
                 asked.object,
@@ -190,7 +190,7 @@
         """The client waits no more."""
         lookup = self.lookups.get(self.by_call[call])
         self._end(lookup, "given_up")
-        self.tell(i.ClientGone(lookup.number))
+        self.tell(interface.ClientGone(lookup.number))
         self.withdraw(lookup)
 
     def wanted(self, lookup):
@@ -202,7 +202,7 @@
     def all_due(self):
         """The end is near: what is held gets its answer now, whatever time its client would give it."""
         for token in self.control.alarms_of(DUE):
-            self.tell(i.Alarm(token))
+            self.tell(interface.Alarm(token))
 
     # ---- from the feed
 
@@ -210,7 +210,7 @@
         if event.whole:
             self.caches.keep_only({cache.id for cache in event.caches})
         for cache, address in zip(event.caches, event.addresses):
-            if cache.phase == i.GONE:
+            if cache.phase == interface.GONE:
                 self.caches.forget(cache.id)
             else:
                 self.caches.learn(cache.id, address, cache.born)
@@ -218,14 +218,14 @@
             self.tally.list(event)
         if self.heed is not None:
             self.heed.listed(event, not self.listed_once)
-        mode = i.WHOLE if event.whole else i.CHANGES
-        self.tell(i.CacheList(mode if self.listed_once else i.REMEMBERED, event.caches))
+        mode = interface.WHOLE if event.whole else interface.CHANGES
+        self.tell(interface.CacheList(mode if self.listed_once else interface.REMEMBERED, event.caches))
         self.listed_once = True
 
     def purged(self, event):
         if self.heed is not None:
             self.heed.dropped_at(event, event.made)
-        self.tell(i.Purged(max(0, self.now() - event.made), event.group, event.object))
+        self.tell(interface.Purged(max(0, self.now() - event.made), event.group, event.object))
 
     def reload(self, start):
         """What can change while it runs: where the feed is, and events that it has not told yet."""
--- a/hookrouter/node/start.py
+++ b/hookrouter/node/start.py
@@ -3,7 +3,7 @@
 import json
 from typing import NamedTuple
 
-from .. import interface as i
+from .. import interface
 from .. import terms
 from ..feed import read_known
 from ..feed.events import read_address
@@ -27,7 +27,7 @@
     memory: int  # MB in all
     sockets: int  # descriptors in all
     feed: tuple
-    terms: i.Terms
+    terms: interface.Terms
     purges: dict | None  # the operator's section, where fleet-wide purges are on
     paced: bool  # with [admission]: it comes back to whom it follows as it is told
     tags: dict | None  # object -> its tags, where these come from a file
--- a/hookrouter/node/tally.py
+++ b/hookrouter/node/tally.py
@@ -2,7 +2,7 @@
 
 from math import exp
 
-from .. import interface as i
+from .. import interface
 
 OUT_OVER = 10_000  # 1 s: sends out are averaged over it, for one look finds none most of the time
 RATE_OVER = 20_000  # 2 s: of a few sends a second
@@ -31,14 +31,14 @@
                 self.out[name] = left
             else:
                 self.out.pop(name, None)
-        if end in (i.SATISFIED, i.FULL):
+        if end in (interface.SATISFIED, interface.FULL):
             row = self.answers.setdefault(cache, [float(took), 0.0])
-            row[0] += BLEND * (took - row[0]) if end == i.SATISFIED else 0.0
-            row[1] += BLEND * ((end == i.FULL) - row[1])
+            row[0] += BLEND * (took - row[0]) if end == interface.SATISFIED else 0.0
+            row[1] += BLEND * ((end == interface.FULL) - row[1])
 
     def list(self, event):
         """The feed's list: caches without a load are told as idle, and those gone are told no more."""
-        ready = {cache.id for cache in event.caches if cache.phase != i.GONE}
+        ready = {cache.id for cache in event.caches if cache.phase != interface.GONE}
         gone = {cache.id for cache in event.caches} - ready
         self.listed = ready if event.whole else (self.listed | ready) - gone
         self.answers = {name: row for name, row in self.answers.items() if name in self.listed}
--- a/hookrouter/tables/beliefs.py
+++ b/hookrouter/tables/beliefs.py
@@ -5,7 +5,7 @@
 
 from heapq import heappop, heappush
 
-from .. import interface as i
+from .. import interface
 
 SECOND = 10_000  # tenths of a millisecond
 
@@ -71,7 +71,7 @@
         self.budgets = []  # (when the budget of a send is over, lookup, number): a heap
         self.index, self.columns = {}, []  # id of a cache -> row; (column, what a new row begins with)
         self.ids, self.sort, self.cell, self.where = (self.column(None) for _ in range(4))
-        self.weight, self.phase = self.column(1.0), self.column(i.GONE)
+        self.weight, self.phase = self.column(1.0), self.column(interface.GONE)
         self.out, self.heard = self.column(0), self.column(0)  # sends out there; the last answer from there
         self.unheard, self.since = self.column(0), self.column(0)  # sends since then; when the first went out
         self.edges, self.parents, self.origins = [], [], []  # rows that sends may go to
@@ -100,7 +100,7 @@
         for lk in self.held.values():
             named.update(lk.caches, lk.sources)
         for n, phase in enumerate(self.phase):
-            if phase == i.GONE and n not in named:
+            if phase == interface.GONE and n not in named:
                 del self.index[self.ids[n]]
                 return n
         return len(self.ids)
@@ -108,7 +108,9 @@
     def keep_only(self, caches):
         """What a whole list leaves out is gone."""
         named = {cache.id for cache in caches}
-        self.phase[:] = [phase if name in named else i.GONE for name, phase in zip(self.ids, self.phase)]
+        self.phase[:] = [
+            phase if name in named else interface.GONE for name, phase in zip(self.ids, self.phase)
+        ]
 
     def begin(self, lk, sent, over):
         """One more send of this lookup is out; over: when its budget is, or None."""
@@ -159,7 +161,7 @@
         """what: handed back by ring() once the alarm of this token has come."""
         self.tokens += 1
         self.alarms[self.tokens] = what
-        self.say(i.SetAlarm(delay, self.tokens))
+        self.say(interface.SetAlarm(delay, self.tokens))
 
     def alarms_of(self, word):
         """Tokens of those that are set for it, the first set first."""
--- a/hookrouter/terms.py
+++ b/hookrouter/terms.py
@@ -7,14 +7,18 @@
 import json
 import math
 
-from . import interface as i
+from . import interface
 from .errors.platform import Malformed
 
-EFFECTS = {"free": i.IDEMPOTENT, "guarded": i.DEDUPLICATED, "single_shot": i.SIDE_EFFECTING}
-DROPPED = {"all": i.EVERYWHERE, "zone": i.SAME_ZONE, "cell": i.SAME_CELL}
+EFFECTS = {
+    "free": interface.IDEMPOTENT,
+    "guarded": interface.DEDUPLICATED,
+    "single_shot": interface.SIDE_EFFECTING,
+}
+DROPPED = {"all": interface.EVERYWHERE, "zone": interface.SAME_ZONE, "cell": interface.SAME_CELL}
 REPORTS = {"inline": "answers", "on_probe": "probes", "off": "none"}
 NOTES = {"all": "all", "hit": "hit", "off": "none"}
-SIBLINGS = {"off": i.NO_SIBLINGS, "location": i.OWN_LOCATION, "any": i.ANY_SIBLING}
+SIBLINGS = {"off": interface.NO_SIBLINGS, "location": interface.OWN_LOCATION, "any": interface.ANY_SIBLING}
 DISCOVERY = {"pushed": False, "on_request": True}
 TENTHS = 10  # of a millisecond, the interface's unit, in one
 SECOND = 1_000 * TENTHS
@@ -94,7 +98,7 @@
     parents, origin = extra.get("upperKind", whole), extra.get("masterKind", whole)
     if not 0 <= origin < len(sorts) or not -1 <= parents < len(sorts):
         raise Malformed("conf.extra: upperKind or masterKind is outside machineTypes")
-    topology = i.Topology(
+    topology = interface.Topology(
         number=conf.get("myNumber", whole),
         routers=conf.get("balancers", whole),
         zone=conf.get("az", text),
@@ -109,7 +113,7 @@
     )
     if topology.zone not in topology.zones or len(topology.crews) != len(topology.zones):
         raise Malformed("conf: az, zones and extra.crewByZone do not go together")
-    return i.Terms(
+    return interface.Terms(
         topology=topology,
         kinds=read_kinds(conf, extra),
         must_subscribe=conf.get("discovery", word, DISCOVERY),
@@ -159,9 +163,9 @@
     for n, (row, fresh, grace, stale, parts, write) in enumerate(zip(rows, *by_kind)):
         row = Stated(row, f"conf.classes[{n}]")
         effect = row.get("idempotency", word, EFFECTS)
-        keyed = effect == i.DEDUPLICATED
+        keyed = effect == interface.DEDUPLICATED
         kinds.append(
-            i.ObjectKind(
+            interface.ObjectKind(
                 name=row.get("name", text),
                 latency_budget=row.get("aim", down),
                 # The wire leaves the key out where the budget does not stretch.
@@ -170,7 +174,7 @@
                 utility=row.get("worth", number),
                 late_share=row.get("lateWorth", number),
                 effect=effect,
-                dropped_at=row.get("group", word, DROPPED) if keyed else i.EVERYWHERE,
+                dropped_at=row.get("group", word, DROPPED) if keyed else interface.EVERYWHERE,
                 remembered=row.get("memorySpan", down) if keyed else 0,
                 fresh=fresh,
                 grace=grace,
--- a/hookrouter/trace/account.py
+++ b/hookrouter/trace/account.py
@@ -10,7 +10,7 @@
 from statistics import median
 from typing import NamedTuple
 
-from .. import interface as i
+from .. import interface
 from ..terms import SECOND
 from .sizes import by_size
 
@@ -82,10 +82,10 @@
     # ---- inputs
 
     def _lookup(self, router, row):
-        self.open[router, row.fields[0]] = Open(i.Lookup(*row.fields), row.at)
+        self.open[router, row.fields[0]] = Open(interface.Lookup(*row.fields), row.at)
 
     def _ended(self, router, row):
-        end = i.SendEnd(*row.fields)
+        end = interface.SendEnd(*row.fields)
         sent = self.out.pop((router, end.id, end.send), None)
         if sent is not None:
             self.at_cache[sent.target] -= 1
@@ -93,7 +93,7 @@
         if lookup is None or sent is None:
             return
         lookup.ends[end.send] = end.end, end.took
-        if end.end == i.SATISFIED:
+        if end.end == interface.SATISFIED:
             self.waits[sent.target, row.at // SECOND].append(end.took - self._work(lookup))
             if end.settled:
                 self._satisfied(self.open.pop((router, end.id)), row.at)
@@ -115,7 +115,7 @@
         if lookup is None:
             return
         number = len(lookup.sends)
-        source, held = (fields[2], fields[7]) if len(fields) > len(i.Ask._fields) else (None, True)
+        source, held = (fields[2], fields[7]) if len(fields) > len(interface.Ask._fields) else (None, True)
         sent = self.out[router, fields[0], number] = Send(
             row.at, fields[1], source, held, (*belief, self.at_cache[fields[1]])
         )
--- a/hookrouter/trace/replay.py
+++ b/hookrouter/trace/replay.py
@@ -1,20 +1,20 @@
 """A router's decisions made again from its trace: by this build, or by another on the same events."""
 
-from .. import interface as i
+from .. import interface
 from ..control import Control
 
 EVENTS = {
     kind.__name__: kind
     for kind in (
-        i.CacheList,
-        i.Lookup,
-        i.Begun,
-        i.SendEnd,
-        i.ClientGone,
-        i.Alarm,
-        i.ProbeEnd,
-        i.Whisper,
-        i.Purged,
+        interface.CacheList,
+        interface.Lookup,
+        interface.Begun,
+        interface.SendEnd,
+        interface.ClientGone,
+        interface.Alarm,
+        interface.ProbeEnd,
+        interface.Whisper,
+        interface.Purged,
     )
 }
 
@@ -49,14 +49,15 @@
 def event_of(row):
     """The event as the router was told it. KeyError, TypeError: of another version."""
     kind, fields = EVENTS[row.event], map(frozen, row.fields)
-    if kind is i.CacheList:
+    if kind is interface.CacheList:
         mode, caches = fields
-        return i.CacheList(mode, tuple(i.Cache(*cache) for cache in caches))
+        return interface.CacheList(mode, tuple(interface.Cache(*cache) for cache in caches))
     return kind(*fields)
 
 
 def terms_of(values):
-    terms = i.Terms(*map(frozen, values))
+    terms = interface.Terms(*map(frozen, values))
     return terms._replace(
-        topology=i.Topology(*terms.topology), kinds=tuple(i.ObjectKind(*kind) for kind in terms.kinds)
+        topology=interface.Topology(*terms.topology),
+        kinds=tuple(interface.ObjectKind(*kind) for kind in terms.kinds),
     )
--- a/hookrouter/trace/rows.py
+++ b/hookrouter/trace/rows.py
@@ -11,11 +11,11 @@
 import msgspec
 
 from .. import __version__
-from .. import interface as i
+from .. import interface
 from ..errors.stores import Unreadable
 from ..terms import SECOND
 
-SENDS = (i.Ask, i.Obtain)
+SENDS = (interface.Ask, interface.Obtain)
 MOST_LINE = 1 << 20  # bytes: a whole list of some thousand caches has some hundred thousand
 
 
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -9,7 +9,7 @@
 
 from fleet import KINDS, MS, SECOND, terms
 
-from hookrouter import interface as i
+from hookrouter import interface
 from hookrouter.control import Control
 
 BORN = 1_000_000
@@ -107,16 +107,16 @@
         """Its Control, begun where it is new."""
         if self.control is None:
             self.control = self.of(self.number, self.plan.terms(self.number))
-            cold = i.Cache(
+            cold = interface.Cache(
                 "x0",
                 "hub" if self.plan.parent else "edge",
                 0,
                 self.plan.weight,
                 BORN,
-                i.READY,
+                interface.READY,
                 "parent" if self.plan.parent else "box",
             )
-            self.control.decide(now, [i.CacheList(i.REMEMBERED, (cold,))])
+            self.control.decide(now, [interface.CacheList(interface.REMEMBERED, (cold,))])
             if self.restarted < 0:  # a life that ran before has learned what its requests take
                 self.control.times.mean_work[:] = [float(work) for _, work, _ in self.plan.kinds]
         self.control.now = now
--- a/tests/crowd_mistakes.py
+++ b/tests/crowd_mistakes.py
@@ -2,7 +2,7 @@
 
 import sys
 
-from hookrouter import interface as i
+from hookrouter import interface
 from hookrouter.caches.pool import Caches
 from hookrouter.front.connections import Front
 from hookrouter.node.router import Router
@@ -40,7 +40,8 @@
         router,
         event._replace(
             caches=tuple(
-                row._replace(phase=i.READY) if row.phase == i.DRAINING else row for row in event.caches
+                row._replace(phase=interface.READY) if row.phase == interface.DRAINING else row
+                for row in event.caches
             )
         ),
     )
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -5,7 +5,7 @@
 from twisted.internet.testing import StringTransport
 from twisted.python.failure import Failure
 
-from hookrouter import interface as i
+from hookrouter import interface
 from hookrouter.control import Control
 from hookrouter.node.counters import PLAIN
 from hookrouter.parsers import thrift
@@ -14,7 +14,7 @@
 SECOND = 10_000
 
 
-def kind(name, effect=i.IDEMPOTENT, **more):
+def kind(name, effect=interface.IDEMPOTENT, **more):
     row = dict(
         name=name,
         latency_budget=5_000,
@@ -23,7 +23,7 @@
         utility=1.0,
         late_share=0.1,
         effect=effect,
-        dropped_at=i.EVERYWHERE,
+        dropped_at=interface.EVERYWHERE,
         remembered=0,
         fresh=0,
         grace=0,
@@ -31,20 +31,20 @@
         in_parts=False,
         write=False,
     )
-    return i.ObjectKind(**{**row, **more})
+    return interface.ObjectKind(**{**row, **more})
 
 
 KINDS = (
     kind("clip", in_parts=True),
     kind("page", fresh=8 * SECOND),
-    kind("hold", i.DEDUPLICATED, remembered=2 * SECOND, write=True),
-    kind("cell-hold", i.DEDUPLICATED, remembered=2 * SECOND, dropped_at=i.SAME_CELL),
-    kind("order", i.SIDE_EFFECTING),
+    kind("hold", interface.DEDUPLICATED, remembered=2 * SECOND, write=True),
+    kind("cell-hold", interface.DEDUPLICATED, remembered=2 * SECOND, dropped_at=interface.SAME_CELL),
+    kind("order", interface.SIDE_EFFECTING),
 )
 
 
 def terms(**more):
-    top = i.Topology(
+    top = interface.Topology(
         number=0,
         routers=2,
         zone="edge",
@@ -54,7 +54,7 @@
         links=(0, 0),
         parent_sort="parent",
         origin_sort="origin",
-        siblings=i.OWN_LOCATION,
+        siblings=interface.OWN_LOCATION,
         flow=5000.0,
     )
     row = dict(
@@ -90,11 +90,11 @@
         origin_fall_for=0,
         tick=20,
     )
-    return i.Terms(**{**row, **more})
+    return interface.Terms(**{**row, **more})
 
 
-def cache(name, phase=i.READY, born=0, sort="box"):
-    return i.Cache(
+def cache(name, phase=interface.READY, born=0, sort="box"):
+    return interface.Cache(
         id=name,
         zone="edge" if sort == "box" else "hub",
         cell=int(name[-1]) % 2 if sort == "box" else 9,
@@ -115,12 +115,12 @@
 
 def router(fleet=FLEET, seed=1, **more):
     control = Control(seed, terms(**more))
-    control.decide(1_000_000, [i.CacheList(i.REMEMBERED, tuple(fleet))])
+    control.decide(1_000_000, [interface.CacheList(interface.REMEMBERED, tuple(fleet))])
     return control
 
 
 def lookup(number, kind="clip", due=1_000_000 + 4 * SECOND, key=None, part=0, group=1, size=0):
-    return i.Lookup(
+    return interface.Lookup(
         id=number,
         kind=kind,
         object=key or f"k{number}",
@@ -133,7 +133,7 @@
 
 
 def ended(send, end, number=0, settled=None, note=0, took=100, copy=None):
-    return i.SendEnd(
+    return interface.SendEnd(
         id=send.id,
         send=number,
         end=end,
@@ -142,12 +142,12 @@
         cache=send.cache,
         report=None,
         copy=copy,
-        settled=end == i.SATISFIED if settled is None else settled,
+        settled=end == interface.SATISFIED if settled is None else settled,
     )
 
 
 def sends(effects):
-    return [e for e in effects if isinstance(e, (i.Ask, i.Obtain))]
+    return [e for e in effects if isinstance(e, (interface.Ask, interface.Obtain))]
 
 
 class Model:
@@ -158,38 +158,40 @@
         self.caches, self.unfit, self.lookups, self.purges, self.cold = {}, {}, {}, [], []
 
     def told(self, now, event):
-        if isinstance(event, i.CacheList) and event.mode != i.UNANSWERED:
-            if event.mode != i.CHANGES:
+        if isinstance(event, interface.CacheList) and event.mode != interface.UNANSWERED:
+            if event.mode != interface.CHANGES:
                 for name in self.caches:
                     self.unfit.setdefault(name, now)
             for c in event.caches:
                 self.caches[c.id] = c
-                if c.phase == i.READY:
+                if c.phase == interface.READY:
                     self.unfit.pop(c.id, None)
                 else:
                     self.unfit.setdefault(c.id, now)
-        elif isinstance(event, i.Lookup):
+        elif isinstance(event, interface.Lookup):
             self.lookups[event.id] = {"lookup": event, "answered": False, "sends": []}
-        elif isinstance(event, i.SendEnd):
+        elif isinstance(event, interface.SendEnd):
             held = self.lookups[event.id]
             held["sends"][event.send]["end"] = event.end
             held["answered"] |= event.settled
-        elif isinstance(event, i.ClientGone):
+        elif isinstance(event, interface.ClientGone):
             self.lookups[event.id]["answered"] = True
-        elif isinstance(event, i.Purged):
+        elif isinstance(event, interface.Purged):
             self.purges.append((now, now - event.age, event))
 
     def shown(self, now, effect):
         """The rule that this effect breaks, or None."""
-        if isinstance(effect, (i.Nack, i.Fail)):
+        if isinstance(effect, (interface.Nack, interface.Fail)):
             held = self.lookups[effect.id]
             again, held["answered"] = held["answered"], True
             if again:
                 return "answered twice"
             return (
-                "nacked what may have run" if isinstance(effect, i.Nack) and self.risky_nack(held) else None
+                "nacked what may have run"
+                if isinstance(effect, interface.Nack) and self.risky_nack(held)
+                else None
             )
-        if not isinstance(effect, (i.Ask, i.Obtain)):
+        if not isinstance(effect, (interface.Ask, interface.Obtain)):
             return None
         held = self.lookups[effect.id]
         broken = (
@@ -206,11 +208,15 @@
         return "sent after the answer" if held["answered"] else None
 
     def doubts(self, held):
-        return [s for s in held["sends"] if s["end"] not in i.NEVER_RAN]
+        return [s for s in held["sends"] if s["end"] not in interface.NEVER_RAN]
 
     def risky_nack(self, held):
         k = self.kinds[held["lookup"].kind]
-        harmless = k.effect == i.IDEMPOTENT or k.effect == i.DEDUPLICATED and k.dropped_at == i.EVERYWHERE
+        harmless = (
+            k.effect == interface.IDEMPOTENT
+            or k.effect == interface.DEDUPLICATED
+            and k.dropped_at == interface.EVERYWHERE
+        )
         return self.doubts(held) and not harmless
 
     def repeat(self, now, held, effect):
@@ -220,14 +226,14 @@
             return "too many sends"
         if out and (not self.terms.second_copies or len(out) > 1):
             return "two at once"
-        if k.effect == i.SIDE_EFFECTING and self.doubts(held):
+        if k.effect == interface.SIDE_EFFECTING and self.doubts(held):
             return "an effect twice"
-        if k.effect == i.DEDUPLICATED:
+        if k.effect == interface.DEDUPLICATED:
             for s in self.doubts(held):
                 if now > s["at"] + k.remembered:
                     return "repeated after the memory"
                 if (
-                    k.dropped_at == i.SAME_CELL
+                    k.dropped_at == interface.SAME_CELL
                     and self.caches[s["cache"]].cell != self.caches[effect.cache].cell
                 ):
                     return "repeated outside the group"
@@ -246,7 +252,7 @@
             if hit and now > told + self.terms.purge_grace and now < made + self.terms.purge_done:
                 if self.caches[effect.cache].sort == self.terms.topology.origin_sort:
                     continue
-                limit = 0 if isinstance(effect, i.Ask) else effect.age
+                limit = 0 if isinstance(effect, interface.Ask) else effect.age
                 limit = limit or self.kinds[lk.kind].fresh
                 if limit == 0 or limit > now - made:
                     return "an old copy allowed"
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -5,7 +5,7 @@
 import pytest
 from fleet import END, MS, SECOND, Net, Noted, answer, terms
 
-from hookrouter import interface as i
+from hookrouter import interface
 from hookrouter.caches import Caches, Errand
 from hookrouter.control.rules import Rules
 from hookrouter.tables.deadlines import Deadlines
@@ -84,15 +84,15 @@
 @pytest.mark.parametrize(
     "said, end",
     [
-        (answer(200, b"body"), i.SATISFIED),
-        (answer(304, b"", b"X-Rev: 4be0"), i.SATISFIED),
-        (answer(404), i.MISSING),
-        (answer(503, b"", b"X-Declined: 1"), i.FULL),
-        (answer(503), i.ERRED),
-        (answer(500), i.ERRED),
-        (answer(504, b"", b"X-Declined: 1"), i.VOID),
-        (answer(504), i.ERRED),
-        (answer(400), i.ERRED),
+        (answer(200, b"body"), interface.SATISFIED),
+        (answer(304, b"", b"X-Rev: 4be0"), interface.SATISFIED),
+        (answer(404), interface.MISSING),
+        (answer(503, b"", b"X-Declined: 1"), interface.FULL),
+        (answer(503), interface.ERRED),
+        (answer(500), interface.ERRED),
+        (answer(504, b"", b"X-Declined: 1"), interface.VOID),
+        (answer(504), interface.ERRED),
+        (answer(400), interface.ERRED),
     ],
 )
 def test_each_answer_ends_as_what_it_is(said, end):
@@ -127,7 +127,7 @@
     wire = s.up()
     wire.come(said)
     s.net.advance(0)
-    assert s.ends() == [i.BROKEN] and not wire.open and "caches_malformed" in s.noted.counted
+    assert s.ends() == [interface.BROKEN] and not wire.open and "caches_malformed" in s.noted.counted
     s.nothing_is_left()
 
 
@@ -138,14 +138,14 @@
     assert s.room.held == 99
     s.net.ways[-1].wire.abortConnection()
     s.net.advance(0)
-    assert s.ends() == [i.BROKEN]
+    assert s.ends() == [interface.BROKEN]
     s.send()
     wire = s.up()
     wire.come(answer(200, b"x" * 100)[:-90])
     for _ in range(10):
         s.net.advance(0.1)
         wire.come(b"x")
-    assert s.ends() == [i.BROKEN, i.LATE]
+    assert s.ends() == [interface.BROKEN, interface.LATE]
     s.nothing_is_left()
 
 
@@ -157,7 +157,7 @@
     s.up().come(answer(200, b"x"))
     s.net.ways[-1].wire.come(b"more")
     s.net.advance(0)
-    assert s.ends() == [i.SATISFIED] * 2 and len(s.net.ways) == 2
+    assert s.ends() == [interface.SATISFIED] * 2 and len(s.net.ways) == 2
     s.nothing_is_left()
 
 
@@ -189,20 +189,20 @@
     s.send()
     assert len(s.net.ways) == 2
     s.up().come(answer(200, b"x"))
-    assert s.ends() == [i.SATISFIED] * 2
+    assert s.ends() == [interface.SATISFIED] * 2
 
 
 def test_no_connection_proves_that_nothing_ran():
     s = Scene(connect_for=400 * MS)
     s.send()
     s.net.ways[-1].refuse()
-    assert s.ends() == [i.UNREACHED]
+    assert s.ends() == [interface.UNREACHED]
     s.send()
     s.net.advance(0.4)
-    assert s.ends() == [i.UNREACHED] * 2 and s.net.ways[-1].over
+    assert s.ends() == [interface.UNREACHED] * 2 and s.net.ways[-1].over
     s.send(errand=PLAIN._replace(wait=100 * MS))
     s.net.advance(0.1)
-    assert s.ends() == [i.UNREACHED] * 3
+    assert s.ends() == [interface.UNREACHED] * 3
     s.nothing_is_left()
 
 
@@ -212,13 +212,13 @@
     s.up()
     s.send("c1")  # no descriptor, though its own time would last for longer
     s.net.pump([0.47, 0.02])
-    assert s.ends() == [i.VOID]
+    assert s.ends() == [interface.VOID]
     s.net.ways[0].wire.come(answer(404))
     s.caches.forget("c0")
     s.net.advance(0)
     s.send("c1")
     s.net.pump([0.47, 0.02])
-    assert s.ends() == [i.VOID, i.MISSING, i.UNREACHED]
+    assert s.ends() == [interface.VOID, interface.MISSING, interface.UNREACHED]
     s.nothing_is_left()
 
 
@@ -227,7 +227,7 @@
     s.send()
     s.net.advance(0.01)
     s.up().come(answer(200, b"x"))
-    assert s.ends() == [i.SATISFIED]
+    assert s.ends() == [interface.SATISFIED]
 
 
 def test_a_forgotten_cache_takes_no_more_and_holds_nothing():
@@ -241,7 +241,7 @@
     assert list(s.caches.places) == ["c1", "c2"] and len(s.net.ways) == 1
     wire.come(answer(200, b"x"))  # one under way goes on
     s.net.advance(0)
-    assert s.ends() == [i.VOID, i.VOID, i.SATISFIED]
+    assert s.ends() == [interface.VOID, interface.VOID, interface.SATISFIED]
     s.nothing_is_left()
 
 
@@ -269,7 +269,7 @@
     for way in s.net.ways:
         way.up()
     s.net.pump([0.9, 0])
-    assert s.ends() == [i.LATE, i.CANCELLED]
+    assert s.ends() == [interface.LATE, interface.CANCELLED]
 
 
 @pytest.mark.parametrize("how", ["late", "given up", "unreadable"])
@@ -301,11 +301,11 @@
     send.give_up()
     send.give_up()
     s.net.advance(0)
-    assert s.ends() == [i.LATE, i.CANCELLED]
+    assert s.ends() == [interface.LATE, interface.CANCELLED]
     coming = s.send()
     coming.give_up()
     s.net.advance(0)
-    assert not silent.open and not cancelled.open and s.ends()[2:] == [i.CANCELLED]
+    assert not silent.open and not cancelled.open and s.ends()[2:] == [interface.CANCELLED]
     s.nothing_is_left()
 
 
@@ -321,15 +321,15 @@
     s.send("c0", PLAIN._replace(wait=700 * MS))
     s.net.pump([0.1, 0.1])
     assert s.ends() == [
-        i.SATISFIED,
-        i.VOID,
-        i.UNREACHED,
+        interface.SATISFIED,
+        interface.VOID,
+        interface.UNREACHED,
     ]  # the third had no place, the second was not up in time
     assert s.net.ways[-1].port == 7000 and len(s.net.ways) == 3
     s.up().come(answer(404))
     s.caches.forget("c0")
     s.net.advance(0)
-    assert s.ends()[3:] == [i.MISSING]
+    assert s.ends()[3:] == [interface.MISSING]
     s.nothing_is_left()
 
 
@@ -341,7 +341,7 @@
     s.net.ways[0].wire.come(answer(200, b"x"))
     s.net.advance(0)
     s.up().come(answer(500))
-    assert s.ends() == [i.MISSING, i.SATISFIED, i.ERRED] and len(s.net.ways) == 2
+    assert s.ends() == [interface.MISSING, interface.SATISFIED, interface.ERRED] and len(s.net.ways) == 2
 
 
 def test_idle_connections_go_when_their_address_or_name_passes_to_another():
@@ -387,7 +387,7 @@
     wire = s.up()
     assert wire.take().startswith(b"GET /busy HTTP/1.1\r\n")
     wire.come(answer(200, b"", b"X-Stats: util:0.61;inflight:7;more:1"))
-    assert s.ended[0][:3] == (i.SATISFIED, 0, (7.0, 0.61))
+    assert s.ended[0][:3] == (interface.SATISFIED, 0, (7.0, 0.61))
     for text in (b"util:0.61", b"inflight:x;util:1", b""):
         s.caches.probe("c0").deferred.addCallback(s.ended.append)
         wire.come(answer(200, b"", b"X-Stats: " + text))
@@ -395,7 +395,7 @@
     s.caches.probe("c1").deferred.addCallback(s.ended.append)
     s.up()
     s.net.advance(0.4)
-    assert s.ends()[-1] == i.LATE
+    assert s.ends()[-1] == interface.LATE
 
 
 @pytest.mark.parametrize("seed", range(8))
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -6,7 +6,7 @@
 from cold_fleet import BORN, LATE, PLACES, Plan, drawn, play, served, worst
 from fleet import KINDS, MS, SECOND, cache, ended, lookup, sends, terms
 
-from hookrouter import interface as i
+from hookrouter import interface
 from hookrouter.control import Control
 from hookrouter.control.cold import Cold
 
@@ -109,9 +109,9 @@
 KIND = KINDS[0]._replace(latency_budget=300 * MS)
 WORK = 240 * MS  # the mean of a lookup's own sending time
 ENDS = (
-    *(i.SATISFIED,) * 12,
-    *(i.MISSING,) * 7,
-    i.FULL,
+    *(interface.SATISFIED,) * 12,
+    *(interface.MISSING,) * 7,
+    interface.FULL,
 )  # at cold ones; what is refused more often closes all windows
 
 
@@ -133,7 +133,7 @@
     weights, listed, weighed, ends, number, tries = {}, set(), {"c0": [], "p0": []}, [], 0, 0
     for now in range(BORN, BORN + span, 10 * MS):
         due, ends = [e for e in ends if e[0] <= now], [e for e in ends if e[0] > now]
-        asks = [(r, [i.SendEnd(*e)]) for _, r, e in due]
+        asks = [(r, [interface.SendEnd(*e)]) for _, r, e in due]
         for _ in range(dice.randrange(6)):
             number += 1
             r = dice.choices(range(routers), pace)[0]
@@ -144,14 +144,16 @@
                 continue
             if r not in listed:
                 listed.add(r)
-                fleet[r].decide(now, [i.CacheList(i.REMEMBERED, caches)])
+                fleet[r].decide(now, [interface.CacheList(interface.REMEMBERED, caches)])
             for send in sends(fleet[r].decide(now, events)):
                 for name in {send.cache, getattr(send, "source", None)} & weighed.keys():
                     weighed[name].append((now, WORK))  # by the mean of its kind, as the rule counts
                 turn = fleet[r].held[send.id].sends - 1
                 tries += turn > 0
-                word = dice.choice(ENDS) if send.cache in weighed else i.SATISFIED
-                end = ended(send, word, turn, took=int(weights[send.id]) if word == i.SATISFIED else 20 * MS)
+                word = dice.choice(ENDS) if send.cache in weighed else interface.SATISFIED
+                end = ended(
+                    send, word, turn, took=int(weights[send.id]) if word == interface.SATISFIED else 20 * MS
+                )
                 ends.append((now + end.took, r, tuple(end)))
     for name, share, multiple, weight in (("c0", 0.3, 2.5, 3.0), ("p0", 0.15, 2.0, 10.0)):
         plan = Plan(
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -3,7 +3,7 @@
 import pytest
 from fleet import FLEET, KINDS, SECOND, cache, ended, kind, lookup, router, sends, terms
 
-from hookrouter import interface as i
+from hookrouter import interface
 from hookrouter.control import Control
 from hookrouter.tables.beliefs import Sent
 
@@ -59,21 +59,23 @@
     control = router()
     first = sends(control.decide(NOW, [lookup(1)]))[0]
     assert first.wait == 3 * SECOND
-    second = sends(control.decide(NOW + first.wait, [ended(first, i.LATE)]))[0]
+    second = sends(control.decide(NOW + first.wait, [ended(first, interface.LATE)]))[0]
     assert second.cache != first.cache
 
 
 def test_a_second_copy_runs_beside_the_first_and_the_loser_is_cancelled():
     control = router(second_copies=True)
     effects = control.decide(NOW, [lookup(1)])
-    alarm = min((e for e in effects if isinstance(e, i.SetAlarm)), key=lambda e: e.delay)
-    second = sends(control.decide(NOW + alarm.delay, [i.Alarm(alarm.token)]))[0]
+    alarm = min((e for e in effects if isinstance(e, interface.SetAlarm)), key=lambda e: e.delay)
+    second = sends(control.decide(NOW + alarm.delay, [interface.Alarm(alarm.token)]))[0]
     assert second.cache != sends(effects)[0].cache
-    assert control.decide(NOW + alarm.delay + 9, [ended(second, i.SATISFIED, 1)]) == [i.Cancel(1, 0)]
+    assert control.decide(NOW + alarm.delay + 9, [ended(second, interface.SATISFIED, 1)]) == [
+        interface.Cancel(1, 0)
+    ]
 
 
 def test_an_empty_list_still_answers():
-    assert any(isinstance(e, i.Nack) for e in router([]).decide(NOW, [lookup(1)]))
+    assert any(isinstance(e, interface.Nack) for e in router([]).decide(NOW, [lookup(1)]))
 
 
 def test_a_write_without_passing_by_names_the_source():
@@ -85,13 +87,13 @@
     control = router([cache("c0"), cache("c1"), FLEET[-1]])
     for n in range(1, 60):
         send = sends(control.decide(NOW, [lookup(n)]))[0]
-        control.decide(NOW, [ended(send, i.ERRED if send.cache == "c0" else i.SATISFIED)])
+        control.decide(NOW, [ended(send, interface.ERRED if send.cache == "c0" else interface.SATISFIED)])
     n = control.index["c0"]
     assert not control.health.usable(n) and control.health.usable(control.index["c1"])
     for step in range(60, 200):
         now = NOW + step * 1000
         send = sends(control.decide(now, [lookup(step, due=now + SECOND)]))[0]
-        control.decide(now, [ended(send, i.SATISFIED)])
+        control.decide(now, [ended(send, interface.SATISFIED)])
     assert control.health.trickle[n] is None
 
 
@@ -100,17 +102,17 @@
     events = [
         lookup(1, due=0),
         lookup(2, "no such kind"),
-        i.Purged(10 * NOW, 1, None),
-        i.Alarm(99),
-        i.ClientGone(77),
-        i.CacheList(i.WHOLE, ()),
-        i.CacheList(i.UNANSWERED, ()),
+        interface.Purged(10 * NOW, 1, None),
+        interface.Alarm(99),
+        interface.ClientGone(77),
+        interface.CacheList(interface.WHOLE, ()),
+        interface.CacheList(interface.UNANSWERED, ()),
         lookup(3),
-        i.Begun(5, 0),
-        i.ProbeEnd(i.LATE, "c0", 5, None),
-        i.Whisper(1, b""),
+        interface.Begun(5, 0),
+        interface.ProbeEnd(interface.LATE, "c0", 5, None),
+        interface.Whisper(1, b""),
     ]
-    answered = [e.id for e in control.decide(NOW, events) if isinstance(e, (i.Nack, i.Fail))]
+    answered = [e.id for e in control.decide(NOW, events) if isinstance(e, (interface.Nack, interface.Fail))]
     assert answered == [1, 2, 3]
 
 
@@ -118,11 +120,11 @@
     control = router([cache("c0"), FLEET[-1]])
     for n in range(1, 5):
         for send in sends(control.decide(NOW, [lookup(n)])):
-            control.decide(NOW, [ended(send, i.UNREACHED)])
+            control.decide(NOW, [ended(send, interface.UNREACHED)])
     n = control.index["c0"]
     assert control.cold.lost[n] and not control.health.usable(n)
     send = sends(control.decide(NOW + 2 * SECOND, [lookup(9, due=NOW + 5 * SECOND)]))[0]
-    control.decide(NOW + 2 * SECOND, [ended(send, i.SATISFIED)])
+    control.decide(NOW + 2 * SECOND, [ended(send, interface.SATISFIED)])
     assert control.cold.now(n) and not control.cold.lost[n]
 
 
@@ -131,10 +133,14 @@
     n = control.index["c0"]
     control.now, control.heard[n] = NOW, NOW - SECOND
     for _ in range(4):
-        control.learning.ended(sent_to(control, n), i.SendEnd(1, 0, i.LATE, 0, False, 9, "c0", None))
+        control.learning.ended(
+            sent_to(control, n), interface.SendEnd(1, 0, interface.LATE, 0, False, 9, "c0", None)
+        )
     assert control.health.trickle[n] is not None and not control.cold.lost[n]
     control.now = NOW + 5 * SECOND
-    control.learning.ended(sent_to(control, n), i.SendEnd(1, 0, i.LATE, 0, False, 9, "c0", None))
+    control.learning.ended(
+        sent_to(control, n), interface.SendEnd(1, 0, interface.LATE, 0, False, 9, "c0", None)
+    )
     assert control.cold.lost[n]
 
 
@@ -146,12 +152,12 @@
     aging = [kind("page", fresh=8 * SECOND, grace=30 * SECOND)]
     control = router(kinds=aging)
     first = sends(control.decide(NOW, [lookup(1, "page")]))[0]
-    second = sends(control.decide(NOW, [ended(first, i.FULL)]))[0]
+    second = sends(control.decide(NOW, [ended(first, interface.FULL)]))[0]
     assert (first.age, second.age) == (8 * SECOND, 38 * SECOND)
-    control.decide(NOW, [i.Purged(100, 1, None)])
+    control.decide(NOW, [interface.Purged(100, 1, None)])
     control.windows.gate = 1.0
     first = sends(control.decide(NOW, [lookup(2, "page")]))[0]
-    second = sends(control.decide(NOW, [ended(first, i.FULL)]))[0]
+    second = sends(control.decide(NOW, [ended(first, interface.FULL)]))[0]
     assert first.age < 100 and second.age < 100
 
 
@@ -165,16 +171,18 @@
     n = control.index["c0"]
     control.heard[n] = NOW + 1
     for _ in range(9):
-        control.learning.ended(sent_to(control, n), i.SendEnd(1, 0, i.LATE, 0, False, 9, "c0", None))
+        control.learning.ended(
+            sent_to(control, n), interface.SendEnd(1, 0, interface.LATE, 0, False, 9, "c0", None)
+        )
     assert control.health.trickle[n] is None
 
 
 def test_after_a_refused_fill_the_next_send_is_for_what_the_parent_holds():
     control = router()
     first = sends(control.decide(NOW, [lookup(1)]))[0]
-    second = sends(control.decide(NOW, [ended(first, i.FULL)]))[0]
+    second = sends(control.decide(NOW, [ended(first, interface.FULL)]))[0]
     assert second.cache != first.cache and second.source == first.source and second.held_only
-    assert isinstance(control.decide(NOW, [ended(second, i.MISSING, 1)])[0], i.Nack)
+    assert isinstance(control.decide(NOW, [ended(second, interface.MISSING, 1)])[0], interface.Nack)
 
 
 def test_a_shut_window_of_one_parent_sends_its_fills_to_the_next_and_a_shut_gate_for_hits_only():
@@ -188,9 +196,11 @@
 
 def test_a_list_that_must_be_asked_for_is_asked_for_until_it_answers():
     control = Control(1, terms(must_subscribe=True))
-    assert control.decide(NOW, [i.CacheList(i.REMEMBERED, FLEET)]) == [i.Subscribe(True)]
-    alarm = control.decide(NOW, [i.CacheList(i.UNANSWERED, ())])[0]
-    assert control.decide(NOW + alarm.delay, [i.Alarm(alarm.token)]) == [i.Subscribe(True)]
+    assert control.decide(NOW, [interface.CacheList(interface.REMEMBERED, FLEET)]) == [
+        interface.Subscribe(True)
+    ]
+    alarm = control.decide(NOW, [interface.CacheList(interface.UNANSWERED, ())])[0]
+    assert control.decide(NOW + alarm.delay, [interface.Alarm(alarm.token)]) == [interface.Subscribe(True)]
 
 
 def crowded(routers, crew, **more):
@@ -206,7 +216,7 @@
     control = router()
     for n in (1, 2):
         send = sends(control.decide(NOW, [lookup(n)]))[0]
-        control.decide(NOW, [ended(send, i.SATISFIED, note=i.FOUND, took=30)])
+        control.decide(NOW, [ended(send, interface.SATISFIED, note=interface.FOUND, took=30)])
     assert sends(control.decide(NOW, [lookup(3)]))[0].wait > 2 * SECOND
 
 
@@ -224,7 +234,7 @@
     for n in range(200):
         send = sends(control.decide(NOW, [lookup(n)]))[0]
         filled += send.source != send.cache
-        control.decide(NOW, [ended(send, i.MISSING)])
+        control.decide(NOW, [ended(send, interface.MISSING)])
     assert 0 < filled < 60
 
 
@@ -232,7 +242,7 @@
     control, seen = router([cache("c0"), *FLEET[4:5], FLEET[-1]]), []
     for n in range(1, 4):
         first = sends(control.decide(NOW, [lookup(n)]))[0]
-        control.decide(NOW, [ended(first, i.FULL)])
+        control.decide(NOW, [ended(first, interface.FULL)])
         seen.append(control.windows.room[control.index["p0"]])
     assert seen[0] > seen[1] > seen[2]
 
@@ -243,7 +253,10 @@
     fleet = [Control(n, t._replace(topology=t.topology._replace(number=n))) for n in range(routers)]
     born, spent = NOW, []
     for control in fleet:
-        control.decide(NOW, [i.CacheList(i.REMEMBERED, (cache("p0", born=born, sort="parent"), FLEET[0]))])
+        control.decide(
+            NOW,
+            [interface.CacheList(interface.REMEMBERED, (cache("p0", born=born, sort="parent"), FLEET[0]))],
+        )
         control.times.mean_work[0] = 4_000.0
     for step in range(0, 20 * SECOND, 500):  # every router would send all it may
         for control in fleet:
@@ -266,18 +279,22 @@
     reborn = [c._replace(born=NOW) for c in fleet]
     answered = set()
     for step, news in enumerate(
-        (i.CacheList(i.CHANGES, tuple(reborn)), i.CacheList(i.WHOLE, ()), i.CacheList(i.WHOLE, tuple(fleet)))
+        (
+            interface.CacheList(interface.CHANGES, tuple(reborn)),
+            interface.CacheList(interface.WHOLE, ()),
+            interface.CacheList(interface.WHOLE, tuple(fleet)),
+        )
     ):
         now = NOW + step * 100
         effects = control.decide(
             now, [news, *(lookup(9 * step + n, k.name, size=5) for n, k in enumerate(odd))]
         )
         for _ in range(9):
-            answered |= {e.id for e in effects if isinstance(e, (i.Nack, i.Fail))}
+            answered |= {e.id for e in effects if isinstance(e, (interface.Nack, interface.Fail))}
             effects = [
                 e
                 for send in sends(effects)
-                for e in control.decide(now, [ended(send, i.FULL, e_number(send, control))])
+                for e in control.decide(now, [ended(send, interface.FULL, e_number(send, control))])
             ]
     assert answered == {9 * step + n for step in range(3) for n in range(len(odd))}
 
@@ -288,12 +305,12 @@
 
 def test_sends_unanswered_at_a_cache_that_answers_others_in_time_do_not_cut_its_window():
     control = router([cache("c0"), FLEET[-1]])
-    n, late = control.index["c0"], i.SendEnd(1, 0, i.LATE, 0, False, 9, "c0", None)
+    n, late = control.index["c0"], interface.SendEnd(1, 0, interface.LATE, 0, False, 9, "c0", None)
     control.now, control.heard[n], control.windows.room[n] = NOW, NOW + 1, 9.0
     control.learning.ended(sent_to(control, n), late)
     assert control.windows.room[n] == 9.0
     control.learning.ended(
-        sent_to(control, n), late._replace(end=i.SATISFIED, took=3 * SECOND)
+        sent_to(control, n), late._replace(end=interface.SATISFIED, took=3 * SECOND)
     )  # a crowd: others are late too
     control.learning.ended(sent_to(control, n), late)
     assert control.windows.room[n] < 5.0
@@ -309,7 +326,7 @@
     control.heard[c0], control.windows.room[p0] = 2_000_000, 10.0
     lost = lambda via: control.learning.ended(  # noqa: E731
         Sent(c0, p0 if via else c0, p0 if via else None, 0, 100, 1_000_000, True, True),
-        i.SendEnd(1, 0, i.LATE, 0, False, 9_000, "c0", None),
+        interface.SendEnd(1, 0, interface.LATE, 0, False, 9_000, "c0", None),
     )
     lost(True)
     assert control.windows.room[p0] == 5.0 and control.health.strikes[p0] == 1  # it may be the source
@@ -325,7 +342,7 @@
     for _ in range(60):  # what needs no source comes again
         control.learning.ended(
             Sent(c0, c0, None, 0, 100, 1_000_000, True, True),
-            i.SendEnd(1, 0, i.MISSING, 0, False, 9, "c0", None),
+            interface.SendEnd(1, 0, interface.MISSING, 0, False, 9, "c0", None),
         )
     lost(True)
     assert control.windows.room[p0] < room
@@ -336,7 +353,7 @@
     c0, p0, o0 = (control.index[name] for name in ("c0", "p0", "o0"))
     control.heard[c0] = control.heard[o0] = 2_000_000
     control.windows.room[p0] = 10.0
-    late = lambda cache: i.SendEnd(1, 0, i.LATE, 0, False, 9_000, cache, None)  # noqa: E731
+    late = lambda cache: interface.SendEnd(1, 0, interface.LATE, 0, False, 9_000, cache, None)  # noqa: E731
     control.learning.ended(Sent(o0, None, None, 2, 0, 1_000_000, False, True), late("o0"))
     control.learning.ended(Sent(c0, p0, p0, 0, 100, 1_000_000, True, True), late("c0"))
     assert control.windows.room[p0] == 10.0 and control.health.strikes[p0] == 0
@@ -354,14 +371,14 @@
     control.decide(NOW + 2 * SECOND, [])
     assert control.windows.gate < 0.2
     once = control.windows.gate
-    control.decide(NOW + 3 * SECOND, [ended(send, i.LATE, took=3 * SECOND) for send in out])
+    control.decide(NOW + 3 * SECOND, [ended(send, interface.LATE, took=3 * SECOND) for send in out])
     assert control.windows.gate == once  # each miss is counted once
 
 
 def test_the_budget_of_an_ended_send_is_not_counted_against_another_of_the_same_id():
     control = router([cache("c0"), FLEET[4], FLEET[-1]], notes="none")
     first = sends(control.decide(NOW, [lookup(1, size=5)]))[0]
-    control.decide(NOW + 100, [ended(first, i.SATISFIED)])
+    control.decide(NOW + 100, [ended(first, interface.SATISFIED)])
     second = sends(control.decide(NOW + 9_000, [lookup(1, size=5, due=NOW + 5 * SECOND)]))[0]
     control.heard[0] = NOW + 9_001
     control.decide(NOW + 9_500, [])
@@ -387,10 +404,10 @@
     control.windows.gate, control.windows.gate_from = 0.4, NOW
     held = [sends(control.decide(NOW, [lookup(n, size=1)]))[0] for n in range(1, 12)]
     send = next(send for send in held if send.source != send.cache)
-    assert isinstance(control.decide(NOW, [ended(send, i.ERRED)])[0], i.Nack)
+    assert isinstance(control.decide(NOW, [ended(send, interface.ERRED)])[0], interface.Nack)
     assert not any(control.health.strikes[n] for n in control.parents)
     refused = next(other for other in held if other.source != other.cache and other is not send)
-    again = sends(control.decide(NOW, [ended(refused, i.FULL)]))
+    again = sends(control.decide(NOW, [ended(refused, interface.FULL)]))
     assert not again or again[0].held_only
 
 
@@ -399,7 +416,7 @@
     first = control.placing.rank("k1|0|", control.edges)
     for n in first[:2]:
         control.windows.room[n] = 0.0
-    assert isinstance(control.decide(NOW, [lookup(1)])[-1], i.Nack)
+    assert isinstance(control.decide(NOW, [lookup(1)])[-1], interface.Nack)
     for n in first[:2]:
         control.health.set_aside(n)  # sick, not busy: the next two stand in
     assert sends(control.decide(NOW + 1, [lookup(2, key="k1")]))[0].cache in {
@@ -418,5 +435,5 @@
             send = sends(control.decide(NOW, [lookup(n, key=f"o{n}", size=size)]))
             taken[size] += bool(send) and send[0].source != send[0].cache
             for s in send:
-                control.decide(NOW, [ended(s, i.MISSING)])
+                control.decide(NOW, [ended(s, interface.MISSING)])
     assert taken[200] > 95 and taken[20_000] < 50
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -5,7 +5,7 @@
 import pytest
 from fleet import Net, Noted, endpoint, members
 
-from hookrouter import interface as i
+from hookrouter import interface
 from hookrouter.feed import Feed, read_known
 from hookrouter.feed.events import Malformed, parse_event
 from hookrouter.tables.deadlines import Deadlines
@@ -46,7 +46,7 @@
     wire.come(HEAD + told(members(4, endpoint("s-1", 7001, status="leaving", since=1764576000000))))
     wire.come(told(purge(5, key="7f3a")) + told(purge(6, group=17)) + b": comment\n\n")
     listed, by_key, by_group = s.seen
-    assert listed.caches == (i.Cache("s-1", "edge", 0, 8, 17645760000000, i.DRAINING, "box"),)
+    assert listed.caches == (interface.Cache("s-1", "edge", 0, 8, 17645760000000, interface.DRAINING, "box"),)
     assert listed.addresses == (("127.0.0.1", 7001),) and not listed.whole
     assert (by_key.object, by_key.made) == ("7f3a", 17645760001230) and (by_group.object, by_group.group) == (
         None,
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -4,7 +4,7 @@
 from fleet import answer
 from test_caches import PLAIN, Scene
 
-from hookrouter import interface as i
+from hookrouter import interface
 
 
 def test_a_repeat_leaves_by_the_moment_that_is_carried_with_it_or_never():
@@ -12,12 +12,12 @@
     s = Scene(most=1)
     s.send(leave=0.05)
     s.net.advance(0.06)
-    assert s.ends() == [i.UNREACHED]
+    assert s.ends() == [interface.UNREACHED]
     s.send(leave=0.05)
     s.net.rightNow += 0.06  # a pause: no timer was called
     wire = s.up()
     s.net.advance(0)
-    assert wire.take() == b"" and not wire.open and s.ends() == [i.UNREACHED] * 2
+    assert wire.take() == b"" and not wire.open and s.ends() == [interface.UNREACHED] * 2
     s.nothing_is_left()
 
 
@@ -37,7 +37,7 @@
     elif on == "a descriptor":
         s.net.ways[-1].wire.come(answer(200, b"x"))
     s.net.advance(0)
-    assert s.ends()[-1] == i.CANCELLED and s.net.ways[-1].wire.take() == b""
+    assert s.ends()[-1] == interface.CANCELLED and s.net.ways[-1].wire.take() == b""
     s.nothing_is_left()
 
 
@@ -47,9 +47,9 @@
     s.send()
     s.up().unread = answer(200, b"body")
     s.net.pump([0.9, 0])
-    assert s.ends() == [i.SATISFIED] and s.ended[0].pieces == (b"body",)
+    assert s.ends() == [interface.SATISFIED] and s.ended[0].pieces == (b"body",)
     s.send(errand=PLAIN._replace(object="0d55"))
     s.net.ways[-1].wire.unread = answer(200, b"body")[:-1]
     s.net.pump([0.9, 0])
-    assert s.ends() == [i.SATISFIED, i.LATE]
+    assert s.ends() == [interface.SATISFIED, interface.LATE]
     s.nothing_is_left()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -6,7 +6,7 @@
 from fleet import END, answer, answers, configuration, endpoint, members, message
 from scenes import BEGAN, FLEET, Scene, started
 
-from hookrouter import interface as i
+from hookrouter import interface
 from hookrouter.feed.events import parse_event
 from hookrouter.node.service import Service
 from hookrouter.node.start import read_start
@@ -167,7 +167,7 @@
     assert answers(wire.take())[2][1].keys() == {1} and s.adds_up()["lookups_held"] == 1
 
 
-@pytest.mark.parametrize("event", [i.Lookup, i.SendEnd, i.Alarm])
+@pytest.mark.parametrize("event", [interface.Lookup, interface.SendEnd, interface.Alarm])
 def test_an_exception_in_the_decisions_is_logged_and_its_lookups_are_answered(tmp_path, event):
     s = Scene(tmp_path)
     wire, decide = s.client(), s.router.control.decide
@@ -180,9 +180,9 @@
 
     s.router.control.decide = broken
     wire.come(message(1))
-    if event is not i.Lookup:
+    if event is not interface.Lookup:
         s.up()
-    if event is i.SendEnd:
+    if event is interface.SendEnd:
         s.net.ways[-1].wire.come(answer(404))
     s.net.pump([0.1] * 16)
     assert answers(wire.take())[1][1].keys() == {2}
@@ -200,12 +200,12 @@
     wire.come(message(1))
     number = next(iter(s.router.control.held))
     s.router.control.decide = lambda now, inputs: [
-        i.Nack(number, 0),
-        i.Fail(number),
-        i.Ask(number, "c0", 100),
-        i.Cancel(number, 0),
+        interface.Nack(number, 0),
+        interface.Fail(number),
+        interface.Ask(number, "c0", 100),
+        interface.Cancel(number, 0),
     ]
-    s.router.tell(i.Alarm(0))
+    s.router.tell(interface.Alarm(0))
     assert list(answers(wire.take())[1][1]) == [1] and len(s.net.ways) == 1
     assert s.counters.values["sends"] == 1 and s.adds_up()["lookups_held"] == 0
 
--- a/tests/test_purge_network.py
+++ b/tests/test_purge_network.py
@@ -6,7 +6,7 @@
 from purging import NAME, SECOND, site
 from scenes import BEGAN, Out
 
-from hookrouter import interface as i
+from hookrouter import interface
 from hookrouter.feed.events import parse_event
 from hookrouter.log import Log
 from hookrouter.node.counters import Counters
@@ -230,4 +230,4 @@
     s.net.advance(1)
     hold = s.ask(service="hold", replay="ab" * 16, body=b"x")
     s.comes(s.cache()[0], 5.0)
-    assert s.ends() == {hold: "satisfied"} and i.MISSING in i.NEVER_RAN
+    assert s.ends() == {hold: "satisfied"} and interface.MISSING in interface.NEVER_RAN
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,13 +5,13 @@
 import pytest
 from fleet import FLEET, KINDS, MS, SECOND, Model, lookup, terms
 
-from hookrouter import interface as i
+from hookrouter import interface
 from hookrouter.control import Control
 
 
 def made_up_change(dice, now):
     c = dice.choice(FLEET)
-    phase = dice.choice((i.READY, i.READY, i.DRAINING, i.GONE))
+    phase = dice.choice((interface.READY, interface.READY, interface.DRAINING, interface.GONE))
     born = now - dice.randrange(3 * SECOND) if dice.random() < 0.5 else c.born
     return c._replace(phase=phase, born=born)
 
@@ -21,7 +21,7 @@
     dice, stated = Random(seed), terms(**more)
     control, model, now = control_of(seed, stated), Model(stated), 1_000_000
     broken, pending, alarms = [], [], []  # pending: (when, id, number, effect)
-    queue = [i.CacheList(i.REMEMBERED, FLEET)]
+    queue = [interface.CacheList(interface.REMEMBERED, FLEET)]
     number = 0
     done = set()  # answered, though the router may not know it yet
     while number < lookups or pending or any(not h["answered"] for h in model.lookups.values()):
@@ -32,30 +32,41 @@
         for effect, wrong in shown:
             if wrong:
                 broken.append(wrong)
-            if isinstance(effect, (i.Ask, i.Obtain)):
+            if isinstance(effect, (interface.Ask, interface.Obtain)):
                 slow = dice.random() < 0.2
                 at = now + min(effect.wait, dice.randrange(10, 200 * MS) if not slow else 9 * SECOND)
                 pending.append([at, effect, len(model.lookups[effect.id]["sends"]) - 1, None])
-            elif isinstance(effect, i.Cancel):
+            elif isinstance(effect, interface.Cancel):
                 for row in pending:
                     if row[1].id == effect.id and row[2] == effect.send:
-                        row[0], row[3] = now + 10, i.CANCELLED
-            elif isinstance(effect, i.SetAlarm):
+                        row[0], row[3] = now + 10, interface.CANCELLED
+            elif isinstance(effect, interface.SetAlarm):
                 alarms.append((now + effect.delay, effect.token))
         now += dice.randrange(20, 400)
-        queue = [i.Alarm(token) for at, token in alarms if at <= now]
+        queue = [interface.Alarm(token) for at, token in alarms if at <= now]
         alarms = [a for a in alarms if a[0] > now]
         for row in [row for row in pending if row[0] <= now]:
             pending.remove(row)
             at, effect, n, end = row
             late = at >= effect.wait + model.lookups[effect.id]["sends"][n]["at"]
             end = end or (
-                i.LATE
+                interface.LATE
                 if late
-                else dice.choice((i.SATISFIED,) * 8 + (i.ERRED, i.FULL, i.UNREACHED, i.BROKEN, i.MISSING))
+                else dice.choice(
+                    (interface.SATISFIED,) * 8
+                    + (
+                        interface.ERRED,
+                        interface.FULL,
+                        interface.UNREACHED,
+                        interface.BROKEN,
+                        interface.MISSING,
+                    )
+                )
+            )
+            settled = model.lookups[effect.id]["answered"] or effect.id in done or end == interface.SATISFIED
+            queue.append(
+                interface.SendEnd(effect.id, n, end, dice.randrange(6), settled, 100, effect.cache, None)
             )
-            settled = model.lookups[effect.id]["answered"] or effect.id in done or end == i.SATISFIED
-            queue.append(i.SendEnd(effect.id, n, end, dice.randrange(6), settled, 100, effect.cache, None))
             if settled:
                 done.add(effect.id)
         for held in model.lookups.values():
@@ -64,7 +75,7 @@
                 broken.append("not answered in time")
                 held["answered"] = True
             elif not held["answered"] and dice.random() < 0.002:
-                queue.append(i.ClientGone(lk.id))
+                queue.append(interface.ClientGone(lk.id))
         if number < lookups:
             for _ in range(dice.randrange(4)):
                 number += 1
@@ -80,10 +91,10 @@
                     )
                 )
             if dice.random() < 0.05:
-                queue.append(i.CacheList(i.CHANGES, (made_up_change(dice, now),)))
+                queue.append(interface.CacheList(interface.CHANGES, (made_up_change(dice, now),)))
             if dice.random() < 0.05:
                 queue.append(
-                    i.Purged(
+                    interface.Purged(
                         dice.randrange(500 * MS),
                         dice.randrange(4),
                         dice.choice((None, f"k{dice.randrange(30)}")),
@@ -91,7 +102,7 @@
                 )
             if dice.random() < 0.005:  # killed and started anew: what it held is no longer its duty
                 control, model, pending, alarms = control_of(number, stated), Model(stated), [], []
-                queue = [i.CacheList(i.REMEMBERED, FLEET)]
+                queue = [interface.CacheList(interface.REMEMBERED, FLEET)]
     return broken
 
 
@@ -113,8 +124,8 @@
         return super().decide(
             now,
             [
-                e._replace(caches=tuple(c._replace(phase=i.READY) for c in e.caches))
-                if isinstance(e, i.CacheList)
+                e._replace(caches=tuple(c._replace(phase=interface.READY) for c in e.caches))
+                if isinstance(e, interface.CacheList)
                 else e
                 for e in inputs
             ],
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -18,7 +18,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 from benchmarks.sharing_world import found, lied, sayings, taken_over, trial  # noqa: E402
-from hookrouter import interface as i  # noqa: E402
+from hookrouter import interface  # noqa: E402
 from hookrouter.decisions.sharing import (  # noqa: E402
     Board,
     Terms,
@@ -210,9 +210,9 @@
     for now in range(1_000, 200_001, 1_000):  # twice in 100 ms, each 50 ms long
         for _ in range(2):
             tally.sent("c0", "p0")
-        tally.ended("c0", "p0", i.SATISFIED, 500)
+        tally.ended("c0", "p0", interface.SATISFIED, 500)
         seen = rows(now)
-        tally.ended("c0", "p0", i.FULL, 500)
+        tally.ended("c0", "p0", interface.FULL, 500)
     assert abs(seen["c0"][0] - 1) < 0.1 and abs(seen["p0"][1] - 20) < 1 and not tally.out
     for now in range(201_000, 500_000, 1_000):
         seen = rows(now)
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -5,7 +5,7 @@
 from spread_mistakes import MISTAKES
 
 from benchmarks.spread import checks, shares_model, shares_world, world
-from hookrouter import interface as i
+from hookrouter import interface
 from hookrouter.control import Control
 from hookrouter.decisions.spread import Spread, spread_terms
 from hookrouter.decisions.spread.words import Ask, Cede, Started, Word
@@ -67,7 +67,7 @@
 def test_control_heeds_what_is_told_and_goes_on_alone_when_it_ends():
     made = spread()
     control = Control(1, terms(), told=made)
-    control.decide(NOW, [i.CacheList(i.REMEMBERED, tuple(cache(f"c{n}") for n in range(4)))])
+    control.decide(NOW, [interface.CacheList(interface.REMEMBERED, tuple(cache(f"c{n}") for n in range(4)))])
     assert made.others("c0", NOW) is None
     for n in range(4):
         made.news(NOW, checks.summary(f"c{n}", 40.0 if n == 0 else 10.0))
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -3,7 +3,7 @@
 import pytest
 from fleet import FLEET, MS, SECOND, cache, ended, lookup, router, sends, terms
 
-from hookrouter import interface as i
+from hookrouter import interface
 
 NOW = 1_000_000
 HANDFUL = [cache("c0"), FLEET[4], FLEET[-1]]  # one cache, one parent, the origin
@@ -23,13 +23,13 @@
     control.windows.room[p0] = before = 20.0
     first = [asked(control, NOW, n) for n in range(1, 5)]
     control.decide(
-        NOW + 50 * MS, [ended(first[0], i.SATISFIED, took=50 * MS)]
+        NOW + 50 * MS, [ended(first[0], interface.SATISFIED, took=50 * MS)]
     )  # heard after all four went out
     later = [asked(control, NOW + 60 * MS + n, n) for n in range(5, 9)]
     control.decide(NOW + 590 * MS, [])  # budgets of the first are over, the later ones tell of a stall
     if released:
         at = NOW + 2 * SECOND
-        control.decide(at, [ended(send, i.SATISFIED, took=at - NOW) for send in first[1:] + later])
+        control.decide(at, [ended(send, interface.SATISFIED, took=at - NOW) for send in first[1:] + later])
     if routers == 3:
         assert control.windows.room[p0] > before / 2
     else:
@@ -42,7 +42,7 @@
     first = [asked(control, NOW, n) for n in range(1, 5)]
     for n in range(5, 12):  # hits go on
         hit = asked(control, NOW + n * 50 * MS, n)
-        control.decide(NOW + n * 50 * MS + 9, [ended(hit, i.SATISFIED, took=9)])
+        control.decide(NOW + n * 50 * MS + 9, [ended(hit, interface.SATISFIED, took=9)])
     control.decide(NOW + 590 * MS, [])
     assert first and control.windows.room[control.index["p0"]] < p0 / 4
 
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -16,7 +16,7 @@
 from fleet import answer, answers, configuration, endpoint, members, message
 from processes import Cache, FeedStandIn, Standing, serving
 
-from hookrouter import interface as i
+from hookrouter import interface
 from hookrouter.feed import follower
 from standins.ports import free_port
 
@@ -184,15 +184,18 @@
 @pytest.mark.parametrize(
     "pieces, end",
     [
-        (forever(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", b"1\r\nx\r\n"), i.LATE),
-        (forever(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", b"X-More: x\r\n"), i.LATE),
-        (forever(b"", b"HTTP/1.1 100 Go on\r\n\r\n"), i.LATE),
-        (forever(b"HTTP/1.1 200 OK\r\n", b"X-Pad: p\r\n" * 40), i.BROKEN),
+        (forever(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", b"1\r\nx\r\n"), interface.LATE),
+        (
+            forever(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", b"X-More: x\r\n"),
+            interface.LATE,
+        ),
+        (forever(b"", b"HTTP/1.1 100 Go on\r\n\r\n"), interface.LATE),
+        (forever(b"HTTP/1.1 200 OK\r\n", b"X-Pad: p\r\n" * 40), interface.BROKEN),
         (
             forever(
                 b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", b"1000\r\n" + b"x" * 4096 + b"\r\n"
             ),
-            i.BROKEN,
+            interface.BROKEN,
         ),
     ],
 )
@@ -214,7 +217,7 @@
     s.send(errand=test_caches.PLAIN._replace(seen="4be0"))
     s.up().come(answer(304, b"", *fields))
     s.net.advance(0)
-    assert s.ends() == [i.BROKEN]
+    assert s.ends() == [interface.BROKEN]
     s.nothing_is_left()
 
 
@@ -226,14 +229,14 @@
     s.send(errand=OTHER)
     wire.come(answer(200, b"body", *COPY))  # ends in the other's place
     s.net.advance(0)
-    assert s.ends() == [i.SATISFIED, i.BROKEN] and not wire.open
+    assert s.ends() == [interface.SATISFIED, interface.BROKEN] and not wire.open
     for n, (errand, tag) in enumerate(
         ((test_caches.PLAIN, COPY[0]), (test_caches.PLAIN, COPY[0]), (OTHER, b"X-Rev: 0d"))
     ):
         s.send(errand=errand)
         wire = wire if n else s.up()
         wire.come(answer(200, b"body", tag, COPY[1]))  # one object's copy twice is no double
-    assert s.ends()[2:] == [i.SATISFIED] * 3
+    assert s.ends()[2:] == [interface.SATISFIED] * 3
 
 
 @pytest.mark.parametrize("said", [answer(404), answer(503, b"", b"X-Declined: 1"), answer(200, b"done")])
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -2,7 +2,7 @@
 
 from fleet import FLEET, MS, SECOND, cache, ended, lookup, router, sends, terms
 
-from hookrouter import interface as i
+from hookrouter import interface
 from hookrouter.control import Control
 
 NOW = 1_000_000
@@ -41,7 +41,7 @@
 
 def beside(told, fleet=FLEET, **more):
     control = Control(1, terms(**more), told=told)
-    control.decide(NOW, [i.CacheList(i.REMEMBERED, tuple(fleet))])
+    control.decide(NOW, [interface.CacheList(interface.REMEMBERED, tuple(fleet))])
     return control
 
 
@@ -88,5 +88,5 @@
         effects = one.decide(now, [lookup(n, due=now + 4 * SECOND, key=f"k{n % 7}", size=50)])
         assert effects == other.decide(now, [lookup(n, due=now + 4 * SECOND, key=f"k{n % 7}", size=50)])
         for send in sends(effects) if n % 3 else ():
-            end = ended(send, i.ERRED if n % 5 == 0 else i.SATISFIED)
+            end = ended(send, interface.ERRED if n % 5 == 0 else interface.SATISFIED)
             assert one.decide(now + 9, [end]) == other.decide(now + 9, [end])
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -10,7 +10,7 @@
 from fleet import cache as cache_of
 from scenes import Scene
 
-from hookrouter import interface as i
+from hookrouter import interface
 from hookrouter.__main__ import main
 from hookrouter.control import Control
 from hookrouter.node.tracing import BLOCK
@@ -141,24 +141,28 @@
 def told(account, router, rows):
     for at, event, *effects in rows:
         said = [
-            [type(e).__name__, list(e), [0, 1.0, 0, 1.0] if isinstance(e, (i.Ask, i.Obtain)) else None]
+            [
+                type(e).__name__,
+                list(e),
+                [0, 1.0, 0, 1.0] if isinstance(e, (interface.Ask, interface.Obtain)) else None,
+            ]
             for e in effects
         ]
         account.take(router, Row(at, type(event).__name__, list(event), said, "ref"))
 
 
 def ask_of(n, cache="c0", source="p0", held=False):
-    return i.Obtain(n, cache, source, 30_000, 0, 1, True, held, False, False)
+    return interface.Obtain(n, cache, source, 30_000, 0, 1, True, held, False, False)
 
 
-def came(n, took, end=i.SATISFIED, cache="c0"):
-    return i.SendEnd(n, 0, end, 0, end == i.SATISFIED, took, cache, None)
+def came(n, took, end=interface.SATISFIED, cache="c0"):
+    return interface.SendEnd(n, 0, end, 0, end == interface.SATISFIED, took, cache, None)
 
 
 def test_each_lookup_is_counted_once_and_laid_to_its_cause():
     account = Account()
     account.begin(HEADER)
-    clip = lambda n: i.Lookup(n, "clip", "k", 0, 1, 500.0, 60_000, False)  # noqa: E731, 1,000 units to send
+    clip = lambda n: interface.Lookup(n, "clip", "k", 0, 1, 500.0, 60_000, False)  # noqa: E731, 1,000 units to send
     told(
         account,
         "r1",
@@ -171,14 +175,14 @@
             (11_200, came(3, 1_100)),
             (10_200, clip(4), ask_of(4)),
             (11_300, came(4, 1_100)),
-            (12_000, clip(5), i.Nack(5, 900, "fills")),
+            (12_000, clip(5), interface.Nack(5, 900, "fills")),
             (13_000, clip(6), ask_of(6)),
-            (14_000, i.ClientGone(6)),
-            (15_000, clip(7), i.Give(7)),
+            (14_000, interface.ClientGone(6)),
+            (15_000, clip(7), interface.Give(7)),
             (16_000, clip(8), ask_of(8, held=True)),
-            (16_010, came(8, 10, i.MISSING), i.Nack(8, 900, "fills")),
+            (16_010, came(8, 10, interface.MISSING), interface.Nack(8, 900, "fills")),
             (17_000, clip(9), ask_of(9)),
-            (18_000, clip(10), i.Ask(10, "c0", 900, 400)),
+            (18_000, clip(10), interface.Ask(10, "c0", 900, 400)),
             (18_500, came(10, 500)),  # without a source, as writes go
         ],
     )
@@ -205,8 +209,8 @@
         rows.append(
             (
                 n,
-                i.Lookup(n, "clip", "k", 0, 1, size, 60_000, False),
-                i.Give(n) if good else i.Nack(n, 900, "fills"),
+                interface.Lookup(n, "clip", "k", 0, 1, size, 60_000, False),
+                interface.Give(n) if good else interface.Nack(n, 900, "fills"),
             )
         )
     told(account, "r1", rows)
@@ -267,7 +271,7 @@
 
 def test_beliefs_are_of_the_caches_that_a_send_names():
     control = Control(1, terms())
-    control.decide(1_000_000, [i.CacheList(i.REMEMBERED, (*CACHES, cache_of("c5")))])
+    control.decide(1_000_000, [interface.CacheList(interface.REMEMBERED, (*CACHES, cache_of("c5")))])
     send = sends(control.decide(1_000_000, [lookup(1)]))[0]
     out, room, feeding, _ = belief(control, send)
     assert (out, feeding) == (1, 1) and room == float("inf")
--- a/tests/test_warming_member.py
+++ b/tests/test_warming_member.py
@@ -7,7 +7,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from hookrouter import interface as i
+from hookrouter import interface
 from hookrouter.caches.errands import Ended, request
 from hookrouter.decisions.owners.holder import Warrant
 from hookrouter.decisions.warming import words as w
@@ -75,12 +75,12 @@
         and errand.source == "c1"
         and b"X-Fence: warm.edge/c9 7\r\n" in b"".join(request(errand, b"h"))
     )
-    deferred.callback(Ended(i.ERRED, refused=True))
+    deferred.callback(Ended(interface.ERRED, refused=True))
     assert events == [("given up", w.OLD_NUMBER)]
 
 
 def test_it_ends_where_its_cache_drains_or_leaves(host):
-    for phase, cause in ((i.DRAINING, w.DRAINED), (i.GONE, w.LEFT)):
+    for phase, cause in ((interface.DRAINING, w.DRAINED), (interface.GONE, w.LEFT)):
         warmed, events = begun(host, until=501)
         host.heed.listed(
             SimpleNamespace(whole=False, caches=(cache("c9", phase=phase, born=NOW - SECOND),)), False
