--- a/benchmarks/capacity/lines_service.py
+++ b/benchmarks/capacity/lines_service.py
@@ -99,7 +99,7 @@
         f"{SIZE.traffic_bits_per_s / SIZE.routers / GIGA:.2g} Gbit/s for each router",
         same("not measured: no run has carried that much"),
         "bodies pass through the router, in a bounded room",
-        ("hookrouter/tables/room.py",),
+        ("hookrouter/tables/body_memory.py",),
         same("not measured"),
         same(NOT_KNOWN),
     ),
--- a/benchmarks/replicas/processes.py
+++ b/benchmarks/replicas/processes.py
@@ -3,7 +3,7 @@
 from msgspec.structs import replace
 
 from hookrouter.decisions.owners import words as w
-from hookrouter.decisions.owners.duties import FIRST_SEAL, KEEP, NAMES, OPEN
+from hookrouter.decisions.owners.duties import INITIAL_HASH, KEEP, NAMES, OPEN
 from hookrouter.decisions.replicas import copy as c
 
 from ..owners.processes import KeeperProcess, MemberProcess
@@ -39,7 +39,7 @@
             self.event(w.Filed(effect.index))
 
     def caught(self, effect):
-        newest, seal = {duty: rest for duty, *rest in effect.orders}.get(DUTY, (0, FIRST_SEAL))
+        newest, seal = {duty: rest for duty, *rest in effect.orders}.get(DUTY, (0, INITIAL_HASH))
         self.done(self.copy.caught(self.clock(), effect.index, newest, seal))
 
     def done(self, effects):
--- a/benchmarks/replicas/store.py
+++ b/benchmarks/replicas/store.py
@@ -1,7 +1,7 @@
 """What a keeper's copy of a duty's records has on disk, as a plain list."""
 
 from hookrouter.decisions.owners import words as w
-from hookrouter.decisions.owners.duties import FIRST_SEAL, sealed
+from hookrouter.decisions.owners.duties import INITIAL_HASH, chained_hash
 from hookrouter.decisions.replicas import copy as c
 
 DUTY = "purges"
@@ -16,7 +16,7 @@
     """What PurgeLog keeps, as a list: rows behind the floor, the seals of all, names."""
 
     def __init__(self):
-        self.floor, self.rows, self.seals, self.names, self.index, self.epoch = 0, [], [FIRST_SEAL], {}, 0, 0
+        self.floor, self.rows, self.seals, self.names, self.index, self.epoch = 0, [], [INITIAL_HASH], {}, 0, 0
 
     def copied(self):
         made = PlainStore()
@@ -41,7 +41,7 @@
             raise Differs
         for body in bodies:
             self.rows.append(body)
-            self.seals.append(sealed(self.seals[-1], body))
+            self.seals.append(chained_hash(self.seals[-1], body))
 
     def _open(self, epoch):
         self.epoch = max(self.epoch, epoch)
--- a/hookrouter/control/cold.py
+++ b/hookrouter/control/cold.py
@@ -1,6 +1,6 @@
 """Cold budget: what started lately, or was silent, takes what it can bear, the routers in turns."""
 
-from ..tables.turns import place
+from ..tables.turn_order import turn_position
 
 COLD_PACE = 0.5  # of the multiple: most start higher and warm sooner than stated; windows guard the answers
 COLD_BURST = 0.75  # of the reserve between pace and multiple may stand open at once: the rest is for chance
@@ -49,7 +49,7 @@
         age = max(0, b.now - self.born[n])
         able = b.weight[n] * (share + (1 - share) * age / span)
         handed = pace * age * (able + b.weight[n] * share) / 2  # turns since its start, to all routers
-        mine, since = divmod(handed - place(self.top.number, self.routers), self.routers)
+        mine, since = divmod(handed - turn_position(self.top.number, self.routers), self.routers)
         if mine < 0 or since > burst * able:
             return False
         if self.turn[n] != mine:
--- a/hookrouter/control/copies.py
+++ b/hookrouter/control/copies.py
@@ -1,7 +1,7 @@
 """Copies of the router's own: what is kept of answers, and which lookups they satisfy."""
 
 from .. import interface
-from ..tables.kept import Kept
+from ..tables.copy_cache import CopyCache
 from .purges import PURGE_SLACK
 
 OWN_LARGEST = 1 / 16  # of the room: one copy beyond it would cost too many others
@@ -11,7 +11,7 @@
     def __init__(self, beliefs, terms, purges):
         self.b, self.purges, self.kinds = beliefs, purges, terms.kinds
         self.room, self.flows, self.flow = terms.own_room, terms.own_flows or 1, terms.own_flow or 1
-        self.free, self.kept = 0, Kept(terms.own_room)  # when the router's own link is free
+        self.free, self.kept = 0, CopyCache(terms.own_room)  # when the router's own link is free
 
     def given(self, lk, share):
         """Whether one was fresh and there in time over the router's own link, which takes them in order."""
--- a/hookrouter/control/lookups.py
+++ b/hookrouter/control/lookups.py
@@ -1,7 +1,7 @@
 """The life of a lookup: a table of states and inputs, the loop that reads it, and its effects."""
 
 from .. import interface
-from ..tables.beliefs import Sent
+from ..tables.router_state import PendingSend
 from .times import LEAST_WAIT
 
 STAY_AWAY = 3_000  # 300 ms at most, half at least: a stall is over by then, a client's budget hardly
@@ -72,7 +72,7 @@
                 c.told.sent(c.ids[n], c.now, cost)
         edge = target in c.edges
         via = None if source is None or source == target else source if edge else target
-        sent = Sent(target, source, via, lk.kind, lk.work, c.now, limited, c.placing.calm(target))
+        sent = PendingSend(target, source, via, lk.kind, lk.work, c.now, limited, c.placing.calm(target))
         # Where sizes are not told its budget is not known before its end.
         c.begin(lk, sent, c.now + int(c.times.budget(sent)) if lk.work else None)
         if source is None or target in c.origins:
--- a/hookrouter/control/router.py
+++ b/hookrouter/control/router.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from .. import interface
-from ..tables.beliefs import Beliefs, Held
+from ..tables.router_state import RouterState, PendingLookup
 from . import cold, copies, health, learning, placing, purges, rules, times, windows
 from .lookups import ARRIVED, DUE, FAILED, NEW, OVERRUN, SETTLED, Lookups
 
@@ -12,7 +12,7 @@
 UNHEARD = "unheard"  # the alarm of a subscription to ask for again
 
 
-class Control(Beliefs):
+class Control(RouterState):
     """What one router takes for true, and the inputs that change it; told: what others of its fleet say."""
 
     def __init__(self, seed, terms, guard=None, told=None):
@@ -59,7 +59,7 @@
         kind = self.kinds.get(lk.kind)
         if kind is None:
             return self.say(interface.Fail(lk.id, "kind"))
-        held = self.held[lk.id] = Held(lk, kind, self.terms.topology.flow, NEW)
+        held = self.held[lk.id] = PendingLookup(lk, kind, self.terms.topology.flow, NEW)
         self.alarm(max(0, lk.due - self.now), (lk.id, DUE))
         self.lookups.step(held, ARRIVED)
 
--- a/hookrouter/decisions/owners/duties.py
+++ b/hookrouter/decisions/owners/duties.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ...tables.seals import FIRST_SEAL, SEAL, sealed
+from ...tables.hash_chain import INITIAL_HASH, HASH_BYTES, chained_hash
 
 DECLARE, GRANT, DROP, DONE = "declare", "grant", "drop", "done"
 # Of a duty that keeps an order of records: an owner begins, appends, notes names, and folds what is too old.
@@ -31,7 +31,7 @@
 
     epoch: int = 0  # of the owner that began last; each has its own, later ones higher ones
     newest: int = 0  # number of the last record
-    seal: bytes = FIRST_SEAL  # over all up to there
+    seal: bytes = INITIAL_HASH  # over all up to there
     where: str = ""  # the owner's address for those whom its work serves
 
 
@@ -152,7 +152,7 @@
             return ["out of order", order.newest]
         seal = order.seal
         for body in bodies:
-            seal = sealed(seal, body)
+            seal = chained_hash(seal, body)
         order.newest, order.seal = order.newest + len(bodies), seal
         self.records.append(Record(name, KEEP, (first, tuple(bodies))))
         return ["kept", order.newest]
@@ -171,7 +171,7 @@
         order = self.orders.setdefault(name, Order())
         if order.newest:
             return ["begun", order.newest]
-        if not (0 < newest and 0 <= epoch < MOST_EPOCH and isinstance(seal, bytes) and len(seal) == SEAL):
+        if not (0 < newest and 0 <= epoch < MOST_EPOCH and isinstance(seal, bytes) and len(seal) == HASH_BYTES):
             return ["malformed"]
         order.epoch, order.newest, order.seal = max(order.epoch, epoch), newest, seal
         self.records.append(Record(name, ADOPT, (order.epoch, newest, seal)))
--- a/hookrouter/decisions/replicas/copy.py
+++ b/hookrouter/decisions/replicas/copy.py
@@ -12,7 +12,7 @@
 from collections import deque
 from typing import NamedTuple
 
-from ..owners.duties import ADOPT, KEEP, NAMES, OPEN, sealed
+from ..owners.duties import ADOPT, KEEP, NAMES, OPEN, chained_hash
 from ..owners.words import Fetch
 
 AWAITING, WHOLE, LACKING, BROKEN = "awaiting", "whole", "lacking", "broken"
@@ -130,7 +130,7 @@
         if bodies:
             steps.append((KEEP, newest + 1, tuple(bodies)))
             for body in bodies:
-                seal = sealed(seal, body)
+                seal = chained_hash(seal, body)
             newest += len(bodies)
         if newest == self.target[0] and self.target[1] not in (None, seal):
             self._differs(f"what {sender} sent does not come to what is agreed")
@@ -151,7 +151,7 @@
             index, step = self.queue.popleft()
             if step[0] == KEEP and step[1] == newest + 1:
                 for body in step[2]:
-                    seal = sealed(seal, body)
+                    seal = chained_hash(seal, body)
                 newest += len(step[2])
             self.target, self.target_index, self.named = (newest, seal), index, False
 
@@ -250,7 +250,7 @@
                 if new:
                     steps.append((KEEP, self.newest + 1, new))
                     for body in new:
-                        self.seal = sealed(self.seal, body)
+                        self.seal = chained_hash(self.seal, body)
                     self.newest += len(new)
                 size += sum(map(len, bodies))
             elif step[0] == ADOPT:
--- a/hookrouter/decisions/spread/shares.py
+++ b/hookrouter/decisions/spread/shares.py
@@ -1,6 +1,6 @@
 """What a cold cache bears, in units, one for each stated router: who may spend a unit, by leases.
 
-Control hands a cold cache's allowance out in turns, which go round the routers (tables/turns.py). So
+Control hands a cold cache's allowance out in turns, which go round the routers (tables/turn_order.py). So
 a unit is a row of turns, and the allowance is kept as long as no turn is spent by two. A unit belongs to the
 router of its number for good. It may cede it for a lease to one that asks: it stops before it tells, and
 spends again once the lease is over by its own clock with the drift of both; the asker's lease began when it
--- a/hookrouter/fleet/member/records.py
+++ b/hookrouter/fleet/member/records.py
@@ -10,7 +10,7 @@
 from twisted.python.threadpool import ThreadPool
 
 from ...decisions.owners import words as w
-from ...decisions.owners.duties import FIRST_SEAL
+from ...decisions.owners.duties import INITIAL_HASH
 from ...decisions.replicas import copy as c
 from ...desk.local_store import SEALED_AT_ONCE, replayed
 from ...desk.sealing import SealingLoop
@@ -85,7 +85,7 @@
             self.filed(index)  # nothing of it was this copy's
 
     def caught(self, index, orders):
-        newest, seal = {duty: rest for duty, *rest in orders}.get(DUTY, (0, FIRST_SEAL))
+        newest, seal = {duty: rest for duty, *rest in orders}.get(DUTY, (0, INITIAL_HASH))
         self._carry(self.copy.caught(self.clock(), index, newest, seal))
 
     def heard(self, sender, message):
--- a/hookrouter/node/router.py
+++ b/hookrouter/node/router.py
@@ -13,7 +13,7 @@
 from ..feed.events import Listed
 from ..front import Front
 from ..tables.deadlines import Deadlines
-from ..tables.room import Room
+from ..tables.body_memory import BodyMemory
 from ..tables.slots import Slots
 from ..terms import SECOND
 from .counters import held
@@ -55,7 +55,7 @@
         self.traces = set()  # ids that clients gave, of lookups that are open or sent
         clients = start.sockets // 3
         left = room_left(start.memory)
-        room, asked = Room(int(left * BODIES), self._filled), Room(int(left * CALLS), self._filled)
+        room, asked = BodyMemory(int(left * BODIES), self._filled), BodyMemory(int(left * CALLS), self._filled)
         self.front = Front(
             self, self.deadlines, asked, clients, int(left * HALVES), terms.idle_for / SECOND, log, self.count
         )
--- a/hookrouter/stores/keeper_log.py
+++ b/hookrouter/stores/keeper_log.py
@@ -12,7 +12,7 @@
 
 from ..decisions.owners.words import Entry, Stored
 from ..errors.stores import Foreign
-from ..tables.seals import sealed as seal
+from ..tables.hash_chain import chained_hash as seal
 from .sqlite import BUSY, create, empty, not_opened, transaction
 
 MARK = 0x686B6B70  # the file's application id: "hkkp"
--- a/hookrouter/stores/purge_log.py
+++ b/hookrouter/stores/purge_log.py
@@ -12,7 +12,7 @@
 
 from ..errors.stores import Damaged, Foreign
 from ..purges.types import MOST_SEALED, Purge
-from ..tables.seals import FIRST_SEAL
+from ..tables.hash_chain import INITIAL_HASH
 from . import purge_slices
 from .purge_rows import seal
 from .purge_steps import INSERT, CopySteps
@@ -64,7 +64,7 @@
         if empty(self.file, self.path, MARK, "this is no store of purges"):
             run("BEGIN EXCLUSIVE")
             create(self.file, SCHEMA + purge_slices.SCHEMA, MARK)
-            for name, value in (("version", VERSION), ("epoch", 0), ("floor", 0), ("floor seal", FIRST_SEAL)):
+            for name, value in (("version", VERSION), ("epoch", 0), ("floor", 0), ("floor seal", INITIAL_HASH)):
                 run("INSERT INTO facts VALUES (?, ?)", (name, value))
             self.sealing.create()
             run("COMMIT")
--- a/hookrouter/stores/purge_rows.py
+++ b/hookrouter/stores/purge_rows.py
@@ -3,7 +3,7 @@
 import struct
 
 from ..purges.types import Purge
-from ..tables.seals import sealed
+from ..tables.hash_chain import chained_hash
 
 NUMBERS = struct.Struct(">QQQHH")
 
@@ -26,4 +26,4 @@
 
 def seal(before: bytes, purge: Purge, key: str) -> bytes:
     """Over this purge and, by the seal before, all before it."""
-    return sealed(before, pack(purge, key))
+    return chained_hash(before, pack(purge, key))
--- a/hookrouter/stores/purge_slices.py
+++ b/hookrouter/stores/purge_slices.py
@@ -18,7 +18,7 @@
 from ..purges.retention.archive import Archive, SliceKey, SliceState
 from ..purges.tail import MOST_FIRSTS
 from ..purges.types import SEALABLE_KINDS, Purge
-from ..tables.seals import FIRST_SEAL
+from ..tables.hash_chain import INITIAL_HASH
 from .sqlite import fact
 
 DIGEST_BYTES = 16
@@ -58,7 +58,7 @@
 
     def create(self) -> None:
         """Facts of an empty part; within a transaction."""
-        for name, value in ((SEALED, 0), (SEALED_SEAL, FIRST_SEAL), (FIRSTS, "[]")):
+        for name, value in ((SEALED, 0), (SEALED_SEAL, INITIAL_HASH), (FIRSTS, "[]")):
             self._set(name, value)
         self._set(SEALED_DIGEST, self._digest())
 
--- a/hookrouter/stores/purge_steps.py
+++ b/hookrouter/stores/purge_steps.py
@@ -4,7 +4,7 @@
 
 from ..errors.stores import Differs
 from ..purges.types import Purge
-from ..tables.seals import sealed
+from ..tables.hash_chain import chained_hash
 from .purge_rows import pack, unpack
 from .sqlite import transaction
 
@@ -39,7 +39,7 @@
             purge, key = unpack(body)
             if purge.n != n:
                 raise Differs(f"{purge.n} came as {n}")
-            before = sealed(before, body)
+            before = chained_hash(before, body)
             rows.append((*purge, key, before))
         self.file.executemany(INSERT, rows)
 
--- a/hookrouter/tables/room.py
+++ b/hookrouter/tables/body_memory.py
@@ -1,7 +1,7 @@
 """The memory for bodies: who takes of it gives it back; while it is full, who would read more waits."""
 
 
-class Room:
+class BodyMemory:
     def __init__(self, size, filled):
         """filled: called each time the first reader has to wait."""
         self.size, self.held, self.filled = size, 0, filled
--- a/hookrouter/tables/kept.py
+++ b/hookrouter/tables/copy_cache.py
@@ -1,16 +1,16 @@
 """Copies that are kept, within so many bytes: the one used longest ago goes first."""
 
-NONE = None, 0, None
+NO_COPY = None, 0, None
 
 
-class Kept:
+class CopyCache:
     def __init__(self, room):
         self.room, self.bytes = room, 0
         self.copies = {}  # name, (kind, object, part) -> (made, bytes, group), the last used last
 
     def get(self, name):
         """(made, bytes, group); made is None where none is kept."""
-        return self.copies.get(name, NONE)
+        return self.copies.get(name, NO_COPY)
 
     def used(self, name):
         self.copies[name] = self.copies.pop(name)
--- a/hookrouter/tables/deadlines.py
+++ b/hookrouter/tables/deadlines.py
@@ -2,7 +2,7 @@
 
 from heapq import heapify, heappop, heappush
 
-FEW = 64  # dropped entries that are not worth a clearing
+MIN_CLEARED = 64  # dropped entries that are not worth a clearing
 
 
 class Deadlines:
@@ -32,7 +32,7 @@
             return
         entry[2] = entry[3] = None
         self.dropped += 1
-        if self.dropped > FEW and self.dropped * 2 > len(self.heap):
+        if self.dropped > MIN_CLEARED and self.dropped * 2 > len(self.heap):
             self.heap = [kept for kept in self.heap if kept[2] is not None]
             heapify(self.heap)
             self.dropped = 0
--- a/hookrouter/tables/beliefs.py
+++ b/hookrouter/tables/router_state.py
@@ -10,7 +10,7 @@
 SECOND = 10_000  # tenths of a millisecond
 
 
-class Held:
+class PendingLookup:
     """A lookup that still lacks its final answer."""
 
     __slots__ = (
@@ -49,7 +49,7 @@
         self.why = "time"  # why it was given up: where nothing else is said its time was over
 
 
-class Sent:
+class PendingSend:
     """A send whose end has not come."""
 
     __slots__ = ("target", "source", "kind", "work", "at", "limited", "via", "calm", "missed")
@@ -60,7 +60,7 @@
         self.missed = False  # its budget passed, and was counted before its end
 
 
-class Beliefs:
+class RouterState:
     """The tables of one router, the time of the decision that is under way, and what it has said so far."""
 
     def __init__(self):
--- a/hookrouter/tables/turns.py
+++ b/hookrouter/tables/turn_order.py
@@ -3,11 +3,11 @@
 from functools import lru_cache
 from math import gcd
 
-GOLDEN = (5**0.5 - 1) / 2  # steps of this part of a round leave the widest gaps, however many are made
+GOLDEN_RATIO = (5**0.5 - 1) / 2  # steps of this part of a round leave the widest gaps, however many are made
 
 
 @lru_cache(maxsize=4_096)  # units of a fleet; a router alone asks for its own, at each look at a cold cache
-def place(number, routers):
+def turn_position(number, routers):
     """Routers whose numbers stand in a row, as those of a location may, have their turns far apart."""
-    step = next(k for k in range(int(routers * GOLDEN) + 1, 0, -1) if gcd(k, routers) == 1)
+    step = next(k for k in range(int(routers * GOLDEN_RATIO) + 1, 0, -1) if gcd(k, routers) == 1)
     return number * step % routers
--- a/tests/replicas_mistakes.py
+++ b/tests/replicas_mistakes.py
@@ -7,7 +7,7 @@
 
 from hookrouter.decisions.owners import Keeper
 from hookrouter.decisions.owners import words as w
-from hookrouter.decisions.owners.duties import Duties, Record, sealed
+from hookrouter.decisions.owners.duties import Duties, Record, chained_hash
 from hookrouter.decisions.replicas import copy as c
 
 
@@ -109,7 +109,7 @@
                 if record.command == "keep":
                     self.newest += len(record.fields[1])
                     for body in record.fields[1]:
-                        self.seal = sealed(self.seal, body)
+                        self.seal = chained_hash(self.seal, body)
         return super().agreed(now, index, records)
 
     def opened(self, now, store):
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -9,7 +9,7 @@
 from hookrouter.caches import Caches, Errand
 from hookrouter.control.rules import Rules
 from hookrouter.tables.deadlines import Deadlines
-from hookrouter.tables.room import Room
+from hookrouter.tables.body_memory import BodyMemory
 
 PLAIN = Errand("clip", "9b1f", "7f3a", 3, None, None, b"", 900 * MS)
 
@@ -19,7 +19,7 @@
         self.net, self.noted, self.room, self.ended = (
             Net(),
             Noted(),
-            Room(room, lambda: self.noted.count("room_filled")),
+            BodyMemory(room, lambda: self.noted.count("room_filled")),
             [],
         )
         self.deadlines = Deadlines(self.net)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -5,7 +5,7 @@
 
 from hookrouter import interface
 from hookrouter.control import Control
-from hookrouter.tables.beliefs import Sent
+from hookrouter.tables.router_state import PendingSend
 
 NOW = 1_000_000
 MANY = terms().topology._replace(routers=200)  # one's part of a parent is under one send
@@ -145,7 +145,7 @@
 
 
 def sent_to(control, n):
-    return Sent(n, n, None, 0, 0, NOW, limited=False, calm=False)
+    return PendingSend(n, n, None, 0, 0, NOW, limited=False, calm=False)
 
 
 def test_an_older_copy_will_do_once_no_fill_is_to_be_had():
@@ -325,7 +325,7 @@
     c0, p0 = control.index["c0"], control.index["p0"]
     control.heard[c0], control.windows.room[p0] = 2_000_000, 10.0
     lost = lambda via: control.learning.ended(  # noqa: E731
-        Sent(c0, p0 if via else c0, p0 if via else None, 0, 100, 1_000_000, True, True),
+        PendingSend(c0, p0 if via else c0, p0 if via else None, 0, 100, 1_000_000, True, True),
         interface.SendEnd(1, 0, interface.LATE, 0, False, 9_000, "c0", None),
     )
     lost(True)
@@ -341,7 +341,7 @@
     )
     for _ in range(60):  # what needs no source comes again
         control.learning.ended(
-            Sent(c0, c0, None, 0, 100, 1_000_000, True, True),
+            PendingSend(c0, c0, None, 0, 100, 1_000_000, True, True),
             interface.SendEnd(1, 0, interface.MISSING, 0, False, 9, "c0", None),
         )
     lost(True)
@@ -354,8 +354,8 @@
     control.heard[c0] = control.heard[o0] = 2_000_000
     control.windows.room[p0] = 10.0
     late = lambda cache: interface.SendEnd(1, 0, interface.LATE, 0, False, 9_000, cache, None)  # noqa: E731
-    control.learning.ended(Sent(o0, None, None, 2, 0, 1_000_000, False, True), late("o0"))
-    control.learning.ended(Sent(c0, p0, p0, 0, 100, 1_000_000, True, True), late("c0"))
+    control.learning.ended(PendingSend(o0, None, None, 2, 0, 1_000_000, False, True), late("o0"))
+    control.learning.ended(PendingSend(c0, p0, p0, 0, 100, 1_000_000, True, True), late("c0"))
     assert control.windows.room[p0] == 10.0 and control.health.strikes[p0] == 0
 
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -6,7 +6,7 @@
 from hookrouter.front import Front, Listener
 from hookrouter.parsers import thrift
 from hookrouter.tables.deadlines import Deadlines
-from hookrouter.tables.room import Room
+from hookrouter.tables.body_memory import BodyMemory
 
 
 def thrift_call(seqid, name, kind):
@@ -43,7 +43,7 @@
             Net(),
             Desk(),
             Noted(),
-            Room(room, lambda: self.noted.count("room_filled")),
+            BodyMemory(room, lambda: self.noted.count("room_filled")),
         )
         self.front = Front(
             self.desk, Deadlines(self.net), self.room, most, half, 15.0, self.noted.log, self.noted.count
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -12,7 +12,7 @@
 from replicas_mistakes import MISTAKES
 
 from benchmarks.replicas.world import CopyWorld, broken_by, standing
-from hookrouter.decisions.owners.duties import FIRST_SEAL, KEEP, Duties, sealed
+from hookrouter.decisions.owners.duties import INITIAL_HASH, KEEP, Duties, chained_hash
 from hookrouter.errors.stores import Differs
 from hookrouter.purges import Purge
 from hookrouter.stores import PurgeLog
@@ -42,7 +42,7 @@
     assert duties.records == []
     assert duties.apply(10, "b#1/1", "open", ["purges", 7, 0, "h:2"]) == ["open", 8, 2]
     order = Duties(duties.state()).orders["purges"]
-    assert (order.newest, order.seal) == (2, sealed(sealed(FIRST_SEAL, b"x"), b"y"))
+    assert (order.newest, order.seal) == (2, chained_hash(chained_hash(INITIAL_HASH, b"x"), b"y"))
 
 
 def test_a_sweep_is_a_step_of_its_own_duty_and_done_once():
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -6,7 +6,7 @@
 from twisted.internet.task import Clock
 
 from hookrouter.tables.deadlines import Deadlines
-from hookrouter.tables.room import Room
+from hookrouter.tables.body_memory import BodyMemory
 from hookrouter.tables.slots import Slots
 
 
@@ -88,7 +88,7 @@
 
 def test_a_full_room_wakes_its_readers_once_there_is_place():
     filled, reader, gone = [], Reader(), Reader()
-    room = Room(100, lambda: filled.append(True))
+    room = BodyMemory(100, lambda: filled.append(True))
     room.take(150)
     assert room.full()
     room.wait(reader)
