--- a/benchmarks/spread/ways.py
+++ b/benchmarks/spread/ways.py
@@ -80,7 +80,7 @@
 
     def others(self, cache, now):
         control = self.control_of()
-        return max(0, self.stations[cache].out - control.out[control.index[cache]])
+        return max(0, self.stations[cache].out - control.in_flight[control.row_by_id[cache]])
 
     def lead(self, name):
         return IDEAL_LEAD
--- a/benchmarks/spread/world.py
+++ b/benchmarks/spread/world.py
@@ -211,7 +211,7 @@
             told = ways.TOLD[way]()
         else:
             told = ways.SPREADS[way](spread_terms(terms), (f"r{n}", 1), n, self.now())
-        control.told = told
+        control.fleet_view = told
         if way in ways.SPREADS:
             told.stands([f"r{n}" for n in range(self.plan.routers)])
         control.decide(self.now(), [interface.CacheList(interface.REMEMBERED, self.lines)])
@@ -258,7 +258,7 @@
             aside = control.health.trickle[n] == 1
             cold = -1 if control.cold.now(n) is None else max(0, self.now() - control.cold.born[n])
             posts = member.told.own(
-                self.now(), control.ids[n], aside, control.health.rest_until[n] if aside else None, cold
+                self.now(), control.cache_ids[n], aside, control.health.rest_until[n] if aside else None, cold
             )
             for post in posts:
                 other = self.members[int(post.to[1:])]
@@ -267,7 +267,7 @@
     def word(self, member, message):
         late = message.__class__(message.cache, message.well, int(self.plan.delay * SECOND), message.cold)
         for started in member.told._word(self.now(), late):
-            n, born = member.control.index[started.cache], self.now() - started.age
+            n, born = member.control.row_by_id[started.cache], self.now() - started.age
             if born > member.control.cold.born[n]:
                 member.control.cold.start(n, born)
 
--- a/hookrouter/control/cold.py
+++ b/hookrouter/control/cold.py
@@ -9,7 +9,7 @@
 class Cold:
     def __init__(self, beliefs, terms, health):
         self.b, self.health = beliefs, health
-        self.born, self.purse, self.turn, self.lost = map(beliefs.column, (0, 0.0, -1, False))
+        self.born, self.purse, self.turn, self.lost = map(beliefs.add_column, (0, 0.0, -1, False))
         self.top, self.fall, self.routers = terms.topology, terms.fall_for, max(1, terms.topology.routers)
         self.lump = max([1.0, *(kind.latency_budget for kind in terms.kinds if not kind.write)])
         edges = terms.cold_share, terms.cold_for, terms.fall_multiple
@@ -33,7 +33,7 @@
 
     def now(self, n):
         """The cold terms in force for this cache, or none once it must be warm."""
-        sort, born = self.b.sort[n], self.born[n]
+        sort, born = self.b.machine_type[n], self.born[n]
         terms = self.terms[sort == self.top.parent_sort]
         warm = not born or self.b.now >= born + terms[1] or sort == self.top.origin_sort
         return None if warm else terms
@@ -43,7 +43,11 @@
         b, terms = self.b, self.now(n)
         if terms is None:
             return True
-        if cost and b.told is not None and (said := b.told.allowance(b.ids[n], b.now, cost)) is not None:
+        if (
+            cost
+            and b.fleet_view is not None
+            and (said := b.fleet_view.allowance(b.cache_ids[n], b.now, cost)) is not None
+        ):
             return said  # by this router's share of what the fleet may send
         share, span, pace, burst = terms
         age = max(0, b.now - self.born[n])
--- a/hookrouter/control/copies.py
+++ b/hookrouter/control/copies.py
@@ -15,35 +15,35 @@
 
     def given(self, lk, share):
         """Whether one was fresh and there in time over the router's own link, which takes them in order."""
-        made, size, _ = self.kept.get(lk.own)
+        made, size, _ = self.kept.get(lk.copy_key)
         if made is None:
             return False
-        kind, pure, now = self.kinds[lk.kind], size / self.flow, self.b.now
+        kind, pure, now = self.kinds[lk.kind_index], size / self.flow, self.b.now
         free = max(now, self.free) + pure / self.flows
         budget = share * (kind.latency_budget + kind.budget_stretch * pure)
         late = max(now + pure, free) > min(lk.due, now + max(pure, budget))
         if made < self.purges.guarded(lk) or now - made > (kind.fresh or now) or late:
             return False
         self.free = free
-        self.kept.used(lk.own)
-        self.b.say(interface.Give(lk.id))
+        self.kept.used(lk.copy_key)
+        self.b.emit(interface.Give(lk.id))
         return True
 
     def keep(self, lk, end):
         """Never what a purge has told to be old, though it may have been sent for before."""
-        kind = self.kinds[lk.kind]
+        kind = self.kinds[lk.kind_index]
         if end.copy is None or not self.room or kind.effect != interface.IDEMPOTENT or kind.write:
             return
         made, size = end.copy
         purged = self.purges.newest(lk) + PURGE_SLACK
         if made <= max(purged, self.purges.guarded(lk)) or size > self.room * OWN_LARGEST:
             return
-        self._drop(self.kept.put(lk.own, made, size, lk.group))
-        self.b.say(interface.Keep(lk.id, end.send))
+        self._drop(self.kept.put(lk.copy_key, made, size, lk.group))
+        self.b.emit(interface.Keep(lk.id, end.send))
 
     def purge(self, name, made):
         self._drop(self.kept.purge(name, made + PURGE_SLACK))
 
     def _drop(self, gone):
         for own in gone:
-            self.b.say(interface.Drop(*own))
+            self.b.emit(interface.Drop(*own))
--- a/hookrouter/control/health.py
+++ b/hookrouter/control/health.py
@@ -11,23 +11,26 @@
 class Health:
     def __init__(self, beliefs):
         self.b = beliefs
-        self.strikes, self.rest = beliefs.column(0), beliefs.column(REST)
-        self.trickle, self.rest_until = beliefs.column(None), beliefs.column(None)
-        self.stalled = beliefs.column(0)  # until when it left several sends unanswered
+        self.strikes, self.rest = beliefs.add_column(0), beliefs.add_column(REST)
+        self.trickle, self.rest_until = beliefs.add_column(None), beliefs.add_column(None)
+        self.stalled = beliefs.add_column(0)  # until when it left several sends unanswered
         self.patience = FAILURES, REST  # so many unanswered, the first for longer: a stall; set by lists
 
     def silent(self, n):
-        return self.b.unheard[n] >= self.patience[0] and self.b.now - self.b.since[n] > self.patience[1]
+        return (
+            self.b.unanswered[n] >= self.patience[0]
+            and self.b.now - self.b.unanswered_since[n] > self.patience[1]
+        )
 
     def answers(self, n):
         if self.silent(n):
             self.stalled[n] = self.b.now
-        self.b.hear(n)
+        self.b.record_answer(n)
 
     def stalls(self, sent):
         """Whether its cache answered nothing since it went out, or for longer than `patience` meanwhile."""
         n = sent.target
-        return self.b.heard[n] < sent.at or sent.at < self.stalled[n] or self.silent(n)
+        return self.b.last_answer_at[n] < sent.sent_at or sent.sent_at < self.stalled[n] or self.silent(n)
 
     def told(self, n, word):
         CACHE_TABLE[WELL if self.trickle[n] is None else TRICKLE, word](self, n)
@@ -57,9 +60,11 @@
     def usable(self, n):
         if self.trickle[n] is None:
             return True
-        if self.b.now < self.rest_until[n] or self.b.out[n] >= self.trickle[n]:
+        if self.b.now < self.rest_until[n] or self.b.in_flight[n] >= self.trickle[n]:
             return False
-        return self.b.told is None or self.b.told.tries(self.b.ids[n], self.b.now)  # some look, and tell
+        return self.b.fleet_view is None or self.b.fleet_view.tries(
+            self.b.cache_ids[n], self.b.now
+        )  # some look, and tell
 
 
 # state of a cache, how a send there ended -> effect
--- a/hookrouter/control/learning.py
+++ b/hookrouter/control/learning.py
@@ -28,19 +28,19 @@
 class Learning:
     def __init__(self, control, terms):
         self.c, self.times, self.windows = control, control.times, control.windows
-        self.tardy = control.column(False)  # the last answer came late
+        self.tardy = control.add_column(False)  # the last answer came late
         self.step = terms.topology.crew**-0.5  # of the paper's: the crew's chance steps add up by the root
         self.spare, self.astray = SPARE_MOST, 0.0  # further sends; nats
         self.silent, self.mute_via = 0.0, None  # share of fills; what fed the last of them
 
     def look(self):
         """Budgets that are over: a crowd is seen then, not when its sends end."""
-        for sent in self.c.overdue():
-            if self.c.now - sent.at >= int(self.times.budget(sent)):
+        for sent in self.c.sends_over_budget():
+            if self.c.now - sent.sent_at >= int(self.times.budget(sent)):
                 self._miss(sent)
 
     def ended(self, sent, end):
-        c, windows, word, fills = self.c, self.windows, end.end, sent.via is not None
+        c, windows, word, fills = self.c, self.windows, end.end, sent.upstream is not None
         if word not in (
             interface.UNREACHED,
             interface.BROKEN,
@@ -52,9 +52,9 @@
             if c.cold.lost[sent.target]:
                 c.cold.start(sent.target, c.now)
         # Nothing came from there since the send went out; and what the answer tells of the copy.
-        mute, dry = (n is not None and c.heard[n] < sent.at for n in (sent.target, sent.source))
+        mute, dry = (n is not None and c.last_answer_at[n] < sent.sent_at for n in (sent.target, sent.source))
         if word == interface.FULL and fills:
-            windows.slide(sent.via, True)
+            windows.slide(sent.upstream, True)
             windows.turn(True)
         self._weigh(sent, end, mute, fills)
         stray = word == interface.LATE and self.stray()
@@ -62,8 +62,10 @@
             self._miss(sent)
         if word == interface.SATISFIED:
             return self._satisfied(sent, end, fills)
-        if word == interface.LATE and sent.limited and not stray:  # backing off: it takes longer than that
-            self.times.took(sent.kind, 2 * end.took - sent.work)
+        if (
+            word == interface.LATE and sent.early_timeout and not stray
+        ):  # backing off: it takes longer than that
+            self.times.took(sent.kind_index, 2 * end.took - sent.sending_time)
         if word == interface.MISSING:
             c.health.told(sent.target, GOOD)  # it answers, though it lacks the object
         # Both are blamed: what goes well clears the one not at fault. Time-outs beside answers are a crowd's.
@@ -73,7 +75,7 @@
         if failed or (word == interface.FULL and not fills):
             c.health.told(sent.target, BAD)
         # Silent in a row: it may have died. The list tells seconds late; what answers again counts as cold.
-        silent = c.now - c.heard[sent.target] > SILENCE and c.health.trickle[sent.target] is not None
+        silent = c.now - c.last_answer_at[sent.target] > SILENCE and c.health.trickle[sent.target] is not None
         if silent and word in (interface.UNREACHED, interface.BROKEN, interface.LATE):
             c.cold.lost[sent.target] = True
         waited = word == interface.LATE and not stray and (dry or not windows.tells_hits)
@@ -81,21 +83,23 @@
             c.health.told(sent.source, BAD)
 
     def _satisfied(self, sent, end, fills):
-        times, k, late = self.times, sent.kind, end.took > self.times.budget(sent)
+        times, k, late = self.times, sent.kind_index, end.took > self.times.budget(sent)
         found = end.note in (interface.FOUND, interface.AGED)
         # A hit tells little of the source; where hits are not told, a quick answer passes for one.
-        hit = found if self.windows.tells_hits else end.took - sent.work < times.average[k]
-        if fills and not sent.missed and not (late and self.c.health.stalls(sent)):
-            self.windows.slide(sent.via, late, self.step * (HIT_STEP if hit else 1))
+        hit = found if self.windows.tells_hits else end.took - sent.sending_time < times.average[k]
+        if fills and not sent.over_budget and not (late and self.c.health.stalls(sent)):
+            self.windows.slide(sent.upstream, late, self.step * (HIT_STEP if hit else 1))
             if late or not hit:
                 self.windows.turn(late)
         if not fills or found or not self.windows.tells_hits:
             self.windows.slide(sent.target, late)
         self.tardy[sent.target] = late
         self.spare = min(SPARE_MOST, self.spare + SPARE_SHARE)
-        times.took(k, max(0.0, end.took - sent.work))
-        if sent.work or (sent.calm and (not fills or found)):  # else a crowd's wait would pass for sending
-            times.worked(k, sent.work or end.took)
+        times.took(k, max(0.0, end.took - sent.sending_time))
+        if sent.sending_time or (
+            sent.target_idle and (not fills or found)
+        ):  # else a crowd's wait would pass for sending
+            times.worked(k, sent.sending_time or end.took)
         self.c.health.told(sent.target, GOOD)
         if fills and (
             not self.windows.tells_hits
@@ -109,10 +113,10 @@
         silent = end.end == interface.LATE
         if fills and not mute and end.end in (interface.SATISFIED, interface.LATE):
             self.silent += BLEND * (silent - self.silent)
-        if silent and (mute or (fills and (sent.via == self.mute_via or self.silent > ASTRAY_FILLS))):
+        if silent and (mute or (fills and (sent.upstream == self.mute_via or self.silent > ASTRAY_FILLS))):
             return  # a cache or a source that is gone tells only of itself
         if silent and fills:
-            self.mute_via = sent.via
+            self.mute_via = sent.upstream
         late = end.end == interface.SATISFIED and end.took > self.times.budget(sent)
         sign = SILENT if silent else TARDY if late or (fills and end.end == interface.FULL) else PROMPT
         if silent or end.end in (interface.SATISFIED, interface.MISSING) or sign == TARDY:
@@ -123,12 +127,14 @@
 
     def _miss(self, sent):
         """Its budget is over without an answer: counted once, then or at its end."""
-        if sent.missed or self.c.health.stalls(sent):  # a stall tells of its cache, not of source or link
+        if sent.over_budget or self.c.health.stalls(
+            sent
+        ):  # a stall tells of its cache, not of source or link
             return
-        sent.missed, fills = True, sent.via is not None
+        sent.over_budget, fills = True, sent.upstream is not None
         crowd = self.windows.crowd() and not self.stray()
         if fills and not self.stray():
-            self.windows.slide(sent.via, True)
+            self.windows.slide(sent.upstream, True)
             self.windows.turn(True)
         # Sends unanswered at a cache that answers others in time are lost, or wait for their source.
         if (crowd or self.tardy[sent.target]) and (not fills or not self.windows.tells_hits):
--- a/hookrouter/control/lookups.py
+++ b/hookrouter/control/lookups.py
@@ -27,16 +27,20 @@
 
     def _place(self, lk):
         """One more send where rules, limits and time allow it."""
-        c, kind, left = self.c, self.kinds[lk.kind], lk.due - self.c.now
+        c, kind, left = self.c, self.kinds[lk.kind_index], lk.due - self.c.now
         if c.purges.fenced(kind):
             return self._stuck(lk, "fenced")
         if c.copies.given(lk, OWN_SHARE):
             return AT_HAND
         if lk.hits_only:
             return self._stuck(lk, "fills")
-        if lk.sends and not lk.refused and not kind.write and c.windows.crowd():
+        if lk.send_count and not lk.fill_refused and not kind.write and c.windows.crowd():
             return self._stuck(lk, "sends")
-        if left < LEAST_WAIT or lk.sends >= self.terms.most_sends or (lk.sends and c.learning.spare < 1):
+        if (
+            left < LEAST_WAIT
+            or lk.send_count >= self.terms.most_sends
+            or (lk.send_count and c.learning.spare < 1)
+        ):
             return self._stuck(lk, "time" if left < LEAST_WAIT else "sends")
         if kind.write and self.terms.pass_by:  # passes untouched: it runs at the origin and nothing is kept
             target, source = (c.origins or [None])[0], None
@@ -45,43 +49,49 @@
         if target is None or not c.rules.admissible(lk, target):
             return self._stuck(lk, "caches" if target is None else "effect")
         via = source if target in c.edges else target
-        if source is not None and not kind.write and (lk.refused or not c.windows.open(via, lk)):
+        if source is not None and not kind.write and (lk.fill_refused or not c.windows.open(via, lk)):
             if target not in c.edges:
                 return self._stuck(lk, "fills")
             lk.hits_only = True  # one more fill would be late like those out; a hit would not
-            if not lk.refused or not c.windows.open(via, lk):
+            if not lk.fill_refused or not c.windows.open(via, lk):
                 source = target  # else what refused may hold it: its own source may be the one that is full
         return self._send(lk, target, source, left)
 
     def _stuck(self, lk, why):
-        lk.why = why
+        lk.reason = why
         return STUCK
 
     def _send(self, lk, target, source, left):
-        c, kind, pairs = self.c, self.kinds[lk.kind], self.terms.second_copies
-        limit, cost, leave = c.times.deadline(lk), c.times.mean_work[lk.kind], c.rules.leaves_within(lk)
-        c.learning.spare -= lk.sends > 0
+        c, kind, pairs = self.c, self.kinds[lk.kind_index], self.terms.second_copies
+        limit, cost, leave = c.times.deadline(lk), c.times.mean_work[lk.kind_index], c.rules.leaves_within(lk)
+        c.learning.spare -= lk.send_count > 0
         first = lk.overruns == 0 and not kind.write and target not in c.origins
         limited = first and limit < left and c.learning.spare >= 1
         wait = limit if limited and not pairs else left
         if limited and pairs:
-            c.alarm(limit, (lk.id, lk.sends))
+            c.set_alarm(limit, (lk.id, lk.send_count))
         for n in {target, source} - {None}:
             c.cold.spend(n, cost)
-            if c.told is not None:
-                c.told.sent(c.ids[n], c.now, cost)
+            if c.fleet_view is not None:
+                c.fleet_view.sent(c.cache_ids[n], c.now, cost)
         edge = target in c.edges
         via = None if source is None or source == target else source if edge else target
-        sent = PendingSend(target, source, via, lk.kind, lk.work, c.now, limited, c.placing.calm(target))
+        sent = PendingSend(
+            target, source, via, lk.kind_index, lk.sending_time, c.now, limited, c.placing.calm(target)
+        )
         # Where sizes are not told its budget is not known before its end.
-        c.begin(lk, sent, c.now + int(c.times.budget(sent)) if lk.work else None)
+        c.begin_send(lk, sent, c.now + int(c.times.budget(sent)) if lk.sending_time else None)
         if source is None or target in c.origins:
-            c.say(interface.Ask(lk.id, c.ids[target], wait, leave))
+            c.emit(interface.Ask(lk.id, c.cache_ids[target], wait, leave))
         else:
-            ids, oldest, held = (lk.id, c.ids[target], c.ids[source]), c.purges.oldest(lk), lk.hits_only
+            ids, oldest, held = (
+                (lk.id, c.cache_ids[target], c.cache_ids[source]),
+                c.purges.oldest(lk),
+                lk.hits_only,
+            )
             rank, joins = int(edge and not kind.write), self.terms.joins and not held
             renews = edge and via is not None and kind.fresh > 0
-            c.say(interface.Obtain(*ids, wait, oldest, rank, joins, held, False, renews, leave))
+            c.emit(interface.Obtain(*ids, wait, oldest, rank, joins, held, False, renews, leave))
         return SENT
 
     def _give_up(self, lk):
@@ -91,16 +101,16 @@
         if self.c.rules.nackable(lk):
             # Not all at once: clients nacked together would come back together.
             stay_away = self.c.dice.randint(self.stay_away // 2, self.stay_away)
-            self.c.say(interface.Nack(lk.id, stay_away, lk.why))
+            self.c.emit(interface.Nack(lk.id, stay_away, lk.reason))
         else:
-            self.c.say(interface.Fail(lk.id, lk.why))
+            self.c.emit(interface.Fail(lk.id, lk.reason))
         return self._settle(lk)
 
     def _settle(self, lk):
-        del self.c.held[lk.id]
-        for number in range(lk.sends if self.terms.may_cancel else 0):
-            if (lk.id, number) in self.c.sent:
-                self.c.say(interface.Cancel(lk.id, number))
+        del self.c.pending_lookups[lk.id]
+        for number in range(lk.send_count if self.terms.may_cancel else 0):
+            if (lk.id, number) in self.c.pending_sends:
+                self.c.emit(interface.Cancel(lk.id, number))
 
 
 # state, input -> next state, effect; an effect may hand back a further input.
--- a/hookrouter/control/placing.py
+++ b/hookrouter/control/placing.py
@@ -17,21 +17,23 @@
 
     def rank(self, name, caches):
         """Caches by the shared hash of a name with their ids: the same order on every router."""
-        ids = self.c.ids
+        ids = self.c.cache_ids
         return sorted(caches, key=lambda n: blake2b((name + ids[n]).encode(), digest_size=8).digest())
 
     def pick(self, lk):
         """Target and source of the next send; no target where nothing is left to try."""
         c, affords, usable, room = self.c, self.c.cold.affords, self.c.health.usable, self.c.windows.room
-        kind, cost = self.terms.kinds[lk.kind], c.times.mean_work[lk.kind]
-        ranked = [n for n in self.rank(lk.name, c.edges) if n not in lk.caches and affords(n, cost)]
+        kind, cost = self.terms.kinds[lk.kind_index], c.times.mean_work[lk.kind_index]
+        ranked = [
+            n for n in self.rank(lk.placement_key, c.edges) if n not in lk.tried_caches and affords(n, cost)
+        ]
         # Where all that is left is set aside, that still beats nothing; not where well ones are busy.
         well = [n for n in ranked if usable(n)] or [n for n in ranked if not c.cold.lost[n]]
         fit = [n for n in well[:PART_CANDIDATES] if kind.write or c.windows.open(n, lk)]
         if well and not fit:
             return None, None  # whatever takes it would answer late, and make others late
-        parents = [n for n in self.rank(lk.name, c.parents) if affords(n, cost)]
-        again = [] if lk.refused else lk.sources  # what refused a fetch may still hold the copy
+        parents = [n for n in self.rank(lk.placement_key, c.parents) if affords(n, cost)]
+        again = [] if lk.fill_refused else lk.tried_sources  # what refused a fetch may still hold the copy
         parents.sort(key=lambda n: (not usable(n), n in again))  # stable: else the hash's order
         # One slow parent is left for the next while its window is under a send and the other's clearly wider;
         # where the links or the origin are narrow all windows are, and the hash's order holds.
@@ -40,22 +42,22 @@
         source = ((parents if parents and usable(parents[0]) else c.origins or parents) or [None])[0]
         if fit:
             top = fit if kind.in_parts else fit[:WHOLE_CANDIDATES]
-            lead = LEAD if c.told is None else c.told.lead(lk.name)
+            lead = LEAD if c.fleet_view is None else c.fleet_view.lead(lk.placement_key)
             target = min(top, key=lambda n: self.load(n) * (1 if n == top[0] else lead))
             return target, target if source is None else source
-        if self.terms.pass_by and source is not None and not lk.straight:  # past the caches, once
-            lk.straight = True
+        if self.terms.pass_by and source is not None and not lk.bypassed_caches:  # past the caches, once
+            lk.bypassed_caches = True
             return source, (c.origins or [source])[0]  # as its own source a parent would fill nothing
         return None, None
 
     def load(self, n):
         """A cache not yet heard from counts as average, or it would draw all."""
         c = self.c
-        if c.told is not None and (others := c.told.others(c.ids[n], c.now)) is not None:
-            return max(IDLE_SHARE, c.out[n] + others) / c.weight[n]  # all of it, no part guessed at
-        known = [] if c.heard[n] else [c.out[m] for m in c.edges if c.heard[m]]
-        out = max(c.out[n], sum(known) / max(1, len(known)))
+        if c.fleet_view is not None and (others := c.fleet_view.others(c.cache_ids[n], c.now)) is not None:
+            return max(IDLE_SHARE, c.in_flight[n] + others) / c.weight[n]  # all of it, no part guessed at
+        known = [] if c.last_answer_at[n] else [c.in_flight[m] for m in c.edges if c.last_answer_at[m]]
+        out = max(c.in_flight[n], sum(known) / max(1, len(known)))
         return max(self.idle, max(IDLE_LEAST, out) / c.weight[n])
 
     def calm(self, n):
-        return self.c.out[n] < self.idle * self.c.weight[n]
+        return self.c.in_flight[n] < self.idle * self.c.weight[n]
--- a/hookrouter/control/purges.py
+++ b/hookrouter/control/purges.py
@@ -19,19 +19,19 @@
             del self.purged[old]  # no older copy is left anywhere
 
     def newest(self, lk):
-        return max(self.purged.get(lk.key, 0), self.purged.get(lk.group, 0))
+        return max(self.purged.get(lk.object, 0), self.purged.get(lk.group, 0))
 
     def oldest(self, lk):
         """The age that will do. Never 0 for a purged object: that would mean any copy."""
-        kind, now = self.kinds[lk.kind], self.b.now
+        kind, now = self.kinds[lk.kind_index], self.b.now
         # Where no fill is to be had, a copy within the grace earns more than none.
-        bounds = [kind.fresh + kind.grace * (lk.hits_only or lk.sends > 1)] if kind.fresh else []
-        for name in (lk.key, lk.group):
+        bounds = [kind.fresh + kind.grace * (lk.hits_only or lk.send_count > 1)] if kind.fresh else []
+        for name in (lk.object, lk.group):
             made = self.purged.get(name)
             if made is not None and now - made <= 2 * self.done:
                 bounds.append(max(1, now - made - PURGE_SLACK))
         if self.guard is not None and not kind.write:
-            bounds.append(max(1, now - self.guarded(lk, first_send=lk.sends == 1)))
+            bounds.append(max(1, now - self.guarded(lk, first_send=lk.send_count == 1)))
         return min(bounds, default=0)
 
     def guarded(self, lk, first_send=False):
@@ -40,7 +40,7 @@
             return 0
         if self.guard.shut():
             return inf
-        return self.guard.oldest(self.b.now, self.kinds[lk.kind].name, lk.key, lk.group, first_send)
+        return self.guard.oldest(self.b.now, self.kinds[lk.kind_index].name, lk.object, lk.group, first_send)
 
     def fenced(self, kind):
         return self.guard is not None and not kind.write and self.guard.shut()
--- a/hookrouter/control/router.py
+++ b/hookrouter/control/router.py
@@ -17,7 +17,7 @@
 
     def __init__(self, seed, terms, guard=None, told=None):
         super().__init__()
-        self.terms, self.dice, self.told = terms, Random(seed), told
+        self.terms, self.dice, self.fleet_view = terms, Random(seed), told
         self.kinds = {kind.name: n for n, kind in enumerate(terms.kinds)}
         self.times, self.health = times.Times(terms.kinds), health.Health(self)
         self.windows = windows.Windows(self, terms, self.dice, self.times, self.health)
@@ -37,57 +37,57 @@
     def _on_list(self, news):
         top = self.terms.topology
         if news.mode == interface.UNANSWERED:  # the subscription failed: again, not all routers at once
-            return self.alarm(self.dice.randint(ASK_AGAIN // 2, ASK_AGAIN), (None, UNHEARD))
+            return self.set_alarm(self.dice.randint(ASK_AGAIN // 2, ASK_AGAIN), (None, UNHEARD))
         if news.mode == interface.REMEMBERED and self.terms.must_subscribe:
-            self.say(interface.Subscribe(True))
+            self.emit(interface.Subscribe(True))
         if news.mode != interface.CHANGES:
             self.keep_only(news.caches)
         for cache in news.caches:
-            n = self.row(cache)
+            n = self.row_for(cache)
             self.weight[n], self.phase[n] = max(cache.weight, WEIGHT_LEAST), cache.phase
             if cache.born > self.cold.born[n]:
                 self.cold.start(n, cache.born, news.mode == interface.REMEMBERED)
-        ready = [n for n in range(len(self.ids)) if self.phase[n] == interface.READY]
-        self.origins = [n for n in ready if self.sort[n] == top.origin_sort]
-        self.parents = [n for n in ready if self.sort[n] == top.parent_sort and n not in self.origins]
+        ready = [n for n in range(len(self.cache_ids)) if self.phase[n] == interface.READY]
+        self.origins = [n for n in ready if self.machine_type[n] == top.origin_sort]
+        self.parents = [n for n in ready if self.machine_type[n] == top.parent_sort and n not in self.origins]
         upper = top.origin_sort, top.parent_sort
-        self.edges = [n for n in ready if self.where[n] == top.zone and self.sort[n] not in upper]
-        self.reach = sum(self.weight[n] for n in self.edges)
+        self.edges = [n for n in ready if self.zone[n] == top.zone and self.machine_type[n] not in upper]
+        self.edge_capacity = sum(self.weight[n] for n in self.edges)
         self.windows.listed()
 
     def _on_lookup(self, lk):
         kind = self.kinds.get(lk.kind)
         if kind is None:
-            return self.say(interface.Fail(lk.id, "kind"))
-        held = self.held[lk.id] = PendingLookup(lk, kind, self.terms.topology.flow, NEW)
-        self.alarm(max(0, lk.due - self.now), (lk.id, DUE))
+            return self.emit(interface.Fail(lk.id, "kind"))
+        held = self.pending_lookups[lk.id] = PendingLookup(lk, kind, self.terms.topology.flow, NEW)
+        self.set_alarm(max(0, lk.due - self.now), (lk.id, DUE))
         self.lookups.step(held, ARRIVED)
 
     def _on_alarm(self, alarm):
-        lk_id, word = self.ring(alarm.token)
+        lk_id, word = self.take_alarm(alarm.token)
         if word == UNHEARD:
-            self.say(interface.Subscribe(True))
-        lk = self.held.get(lk_id)
-        if lk is not None and (word == DUE or (lk_id, word) in self.sent):
+            self.emit(interface.Subscribe(True))
+        lk = self.pending_lookups.get(lk_id)
+        if lk is not None and (word == DUE or (lk_id, word) in self.pending_sends):
             self.lookups.step(lk, DUE if word == DUE else OVERRUN)
 
     def _on_end(self, end):
-        sent, lk = self.end((end.id, end.send)), self.held.get(end.id)
+        sent, lk = self.end_send((end.id, end.send)), self.pending_lookups.get(end.id)
         if sent is not None:
             self.learning.ended(sent, end)
         if lk is None:
             return
         if end.end in interface.NEVER_RAN:
-            lk.doubts.pop(end.send, None)
-        if end.end == interface.LATE and sent is not None and sent.limited:
+            lk.possible_runs.pop(end.send, None)
+        if end.end == interface.LATE and sent is not None and sent.early_timeout:
             lk.overruns += 1
         self.copies.keep(lk, end)
-        lk.refused |= end.end == interface.FULL and sent is not None and sent.via is not None
+        lk.fill_refused |= end.end == interface.FULL and sent is not None and sent.upstream is not None
         self.lookups.step(lk, SETTLED if end.settled else FAILED)
 
     def _on_gone(self, gone):
-        if gone.id in self.held:
-            self.lookups.step(self.held[gone.id], SETTLED)
+        if gone.id in self.pending_lookups:
+            self.lookups.step(self.pending_lookups[gone.id], SETTLED)
 
     def _on_purge(self, purge):
         name = purge.object if purge.object is not None else purge.group
--- a/hookrouter/control/rules.py
+++ b/hookrouter/control/rules.py
@@ -13,22 +13,22 @@
 
     def leaves_within(self, lk):
         """So long may it wait to leave: by then what it names may drain, or its group forget the first."""
-        kind, now = self.kinds[lk.kind], self.b.now
-        firsts = () if kind.effect == interface.IDEMPOTENT else lk.doubts.values()
+        kind, now = self.kinds[lk.kind_index], self.b.now
+        firsts = () if kind.effect == interface.IDEMPOTENT else lk.possible_runs.values()
         return min([self.soon, *(when + kind.remembered - MEMORY_MARGIN - now for when, _ in firsts)])
 
     def admissible(self, lk, target):
         """May this lookup be sent there?"""
-        b, kind = self.b, self.kinds[lk.kind]
-        if not self.pairs and any((lk.id, number) in b.sent for number in lk.doubts):
+        b, kind = self.b, self.kinds[lk.kind_index]
+        if not self.pairs and any((lk.id, number) in b.pending_sends for number in lk.possible_runs):
             return False
-        if not lk.doubts or kind.effect == interface.IDEMPOTENT:
+        if not lk.possible_runs or kind.effect == interface.IDEMPOTENT:
             return True
-        group = {interface.SAME_ZONE: b.where, interface.SAME_CELL: b.cell}.get(kind.dropped_at)
-        same = group is None or all(group[first] == group[target] for _, first in lk.doubts.values())
+        group = {interface.SAME_ZONE: b.zone, interface.SAME_CELL: b.cell}.get(kind.dropped_at)
+        same = group is None or all(group[first] == group[target] for _, first in lk.possible_runs.values())
         return same and self.leaves_within(lk) > 0
 
     def nackable(self, lk):
-        kind = self.kinds[lk.kind]
+        kind = self.kinds[lk.kind_index]
         everywhere = kind.effect == interface.DEDUPLICATED and kind.dropped_at == interface.EVERYWHERE
-        return not lk.doubts or kind.effect == interface.IDEMPOTENT or everywhere
+        return not lk.possible_runs or kind.effect == interface.IDEMPOTENT or everywhere
--- a/hookrouter/control/times.py
+++ b/hookrouter/control/times.py
@@ -23,10 +23,12 @@
         self.mean_work[k] += BLEND * (work - self.mean_work[k])
 
     def budget(self, sent):
-        kind = self.kinds[sent.kind]
-        return kind.latency_budget + kind.budget_stretch * (sent.work or TYPICAL * self.mean_work[sent.kind])
+        kind = self.kinds[sent.kind_index]
+        return kind.latency_budget + kind.budget_stretch * (
+            sent.sending_time or TYPICAL * self.mean_work[sent.kind_index]
+        )
 
     def deadline(self, lk):
         """When a part is late: the design's average and deviation, doubled with each overrun."""
-        limit = lk.work + self.average[lk.kind] + DEVIATIONS * self.deviation[lk.kind]
+        limit = lk.sending_time + self.average[lk.kind_index] + DEVIATIONS * self.deviation[lk.kind_index]
         return int(min(LAST_DEADLINE, max(LEAST_WAIT, limit) * 2**lk.overruns))
--- a/hookrouter/control/windows.py
+++ b/hookrouter/control/windows.py
@@ -22,7 +22,7 @@
     def __init__(self, beliefs, terms, dice, times, health):
         self.b, self.dice, self.times, self.health = beliefs, dice, times, health
         self.crew, self.routers = terms.topology.crew, max(1, terms.topology.routers)
-        self.room = beliefs.column(inf)
+        self.room = beliefs.add_column(inf)
         self.gate, self.gate_from = 1.0, 0  # share of fills that is begun, and since when it opens by itself
         self.tells_hits, self.gated = terms.notes != "none", False
         self.stall = min((kind.latency_budget for kind in terms.kinds), default=0)
@@ -40,7 +40,11 @@
     def part(self, n):
         """One router's, in sends: of a source what it carries for all and what this location's links take."""
         b, whole = self.b, self.b.weight[n]
-        return whole / self.crew if n in b.edges else min(b.reach / self.crew, whole / self.routers / MISSES)
+        return (
+            whole / self.crew
+            if n in b.edges
+            else min(b.edge_capacity / self.crew, whole / self.routers / MISSES)
+        )
 
     def listed(self):
         """Where a router's part of a source is wide, its window learns of a crowd: else the gate must."""
@@ -67,7 +71,7 @@
     def open(self, n, lk):
         """Room for one more; a part of a send is a chance, and the better the less it has to send."""
         mean = self.times.mean_work
-        lump = self.dice.random() * (lk.work or mean[lk.kind]) / max(1.0, *mean)
+        lump = self.dice.random() * (lk.sending_time or mean[lk.kind_index]) / max(1.0, *mean)
         gate = self.share() if self.gated and n not in self.b.edges else 1.0
         # An open gate holds back nothing: a large lookup's part may be beyond 1.
-        return self.b.out[n] + lump < self.room[n] and (gate == 1.0 or lump < gate)
+        return self.b.in_flight[n] + lump < self.room[n] and (gate == 1.0 or lump < gate)
--- a/hookrouter/fleet/member/spread.py
+++ b/hookrouter/fleet/member/spread.py
@@ -49,10 +49,10 @@
         self.sharing.on_summary(self)
         self.sharing.subscribe(TOPIC, self._heard)
         self._tick()
-        self.control.told = self
+        self.control.fleet_view = self
 
     def stop(self):
-        self.stopped, self.control.told = True, None
+        self.stopped, self.control.fleet_view = True, None
         if self.call is not None and self.call.active():
             self.call.cancel()
 
@@ -72,7 +72,7 @@
             aside = health.trickle[n] == 1
             cold = -1 if self.control.cold.now(n) is None else max(0, wall - self.control.cold.born[n])
             posts += self.spread.own(
-                now, self.control.ids[n], aside, health.rest_until[n] if aside else None, cold
+                now, self.control.cache_ids[n], aside, health.rest_until[n] if aside else None, cold
             )
         self._post(posts + self.spread.tick(now, wall))
         if self.alone != self.spread.busy.alone(now):
@@ -89,15 +89,15 @@
     def _list(self, now, wall):
         """Lines of the list as Control has them, those that changed; a start that it took for one, too."""
         control, lines = self.control, {}
-        for name, n in control.index.items():
+        for name, n in control.row_by_id.items():
             lines[name] = interface.Cache(
                 name,
-                control.where[n],
+                control.zone[n],
                 0,
                 control.weight[n],
                 control.cold.born[n],
                 control.phase[n],
-                control.sort[n],
+                control.machine_type[n],
             )
         here = [line for line in lines.values() if self._meets(line)]
         changed = [line for line in here if self.lines.get(line.id) != line]
@@ -131,7 +131,7 @@
             self.sharing.post(post.to, TOPIC, encode(post.message))
 
     def _started(self, started):
-        n, born = self.control.index.get(started.cache), self.router.now() - started.age
+        n, born = self.control.row_by_id.get(started.cache), self.router.now() - started.age
         if n is not None and born > self.control.cold.born[n]:
             self.control.cold.start(n, born)
 
--- a/hookrouter/node/counters.py
+++ b/hookrouter/node/counters.py
@@ -91,7 +91,7 @@
     """What is taken and not given back yet."""
     return {
         "sends_out": sum(len(lookup.running) for lookup in router.lookups.held()),
-        "sends_believed_out": len(router.control.sent),
+        "sends_believed_out": len(router.control.pending_sends),
         "caches_set_aside": sum(trickle is not None for trickle in router.control.health.trickle),
         "caches_listed": len(router.caches.places),
         "lookups_held": len(router.by_call),
--- a/hookrouter/node/heed.py
+++ b/hookrouter/node/heed.py
@@ -25,16 +25,16 @@
         self.mean, self.caches, self.since, self.dropped = MEAN, {}, {}, {}
         self.on_list = self.on_late = self.on_sent = None
         control, now = router.control, router.now()
-        for name, n in control.index.items():  # what was known at the start came before this was there
+        for name, n in control.row_by_id.items():  # what was known at the start came before this was there
             if control.phase[n] != interface.GONE:
                 cache = self.caches[name] = interface.Cache(
                     name,
-                    control.where[n],
+                    control.zone[n],
                     control.cell[n],
                     control.weight[n],
                     control.cold.born[n],
                     control.phase[n],
-                    control.sort[n],
+                    control.machine_type[n],
                 )
                 self.since[name] = now if self.cold(cache, now) else 0
 
--- a/hookrouter/node/router.py
+++ b/hookrouter/node/router.py
@@ -55,7 +55,10 @@
         self.traces = set()  # ids that clients gave, of lookups that are open or sent
         clients = start.sockets // 3
         left = room_left(start.memory)
-        room, asked = BodyMemory(int(left * BODIES), self._filled), BodyMemory(int(left * CALLS), self._filled)
+        room, asked = (
+            BodyMemory(int(left * BODIES), self._filled),
+            BodyMemory(int(left * CALLS), self._filled),
+        )
         self.front = Front(
             self, self.deadlines, asked, clients, int(left * HALVES), terms.idle_for / SECOND, log, self.count
         )
@@ -201,7 +204,7 @@
 
     def all_due(self):
         """The end is near: what is held gets its answer now, whatever time its client would give it."""
-        for token in self.control.alarms_of(DUE):
+        for token in self.control.alarm_tokens(DUE):
             self.tell(interface.Alarm(token))
 
     # ---- from the feed
--- a/hookrouter/node/told.py
+++ b/hookrouter/node/told.py
@@ -36,8 +36,8 @@
     def learnt(self):
         """soft.Learnt: what is known here of caches and of answer times."""
         control, now, rows = self.control, self.router.now(), []
-        for name, n in control.index.items():
-            if name not in self.tally.listed or not control.heard[n]:
+        for name, n in control.row_by_id.items():
+            if name not in self.tally.listed or not control.last_answer_at[n]:
                 continue
             took, refused = self.tally.answers.get(name, (0.0, 0.0))
             born = self.cold.born[n]
@@ -49,7 +49,7 @@
                     took,
                     min(1.0, refused),
                     max(0, now - born) if born else -1,
-                    max(0, now - control.heard[n]),
+                    max(0, now - control.last_answer_at[n]),
                 )
             )
         kinds = [
@@ -62,7 +62,7 @@
         """told: soft.Learnt of each neighbour that lent; number of rows taken over."""
         adopted, control = soft.adopted(told), self.control
         for cache, strikes in adopted.strikes.items():
-            n = control.index.get(cache)
+            n = control.row_by_id.get(cache)
             if n is not None:
                 self.health.strikes[n] = max(self.health.strikes[n], strikes)
                 self.tally.answers.setdefault(cache, [adopted.took[cache], adopted.refused[cache]])
--- a/hookrouter/tables/router_state.py
+++ b/hookrouter/tables/router_state.py
@@ -1,6 +1,6 @@
-"""What one router takes for true, kept in tables: lookups held, sends that are out, caches it was told of.
+"""State that one router's decisions work on: pending lookups, sends in flight and the known caches.
 
-Nothing here decides. Each cache has a row; each part of what decides adds columns of its own to the rows.
+Nothing here decides. Each cache has a row; each part of the decisions adds columns of its own to the rows.
 """
 
 from heapq import heappop, heappush
@@ -15,157 +15,183 @@
 
     __slots__ = (
         "id",
-        "kind",
-        "name",
-        "key",
+        "kind_index",
+        "placement_key",
+        "object",
         "group",
-        "work",
+        "sending_time",
         "due",
         "state",
-        "sends",
+        "send_count",
         "overruns",
-        "caches",
-        "doubts",
-        "sources",
-        "straight",
+        "tried_caches",
+        "possible_runs",
+        "tried_sources",
+        "bypassed_caches",
         "hits_only",
-        "refused",
-        "own",
-        "why",
+        "fill_refused",
+        "copy_key",
+        "reason",
     )
 
-    def __init__(self, lk, kind, flow, state):
-        """kind: its place among the terms' kinds; flow: KB a second of one answer, 0 where not told."""
-        pace = flow / SECOND
-        self.id, self.kind, self.key, self.group = lk.id, kind, lk.object, lk.group
-        self.own = lk.kind, lk.object, lk.part
-        self.name = f"{lk.object}|{lk.part}|"  # every part is hashed under a name of its own
-        self.work = lk.size / pace if lk.size and pace else 0.0  # its own sending time
-        self.due, self.state = lk.due, state
-        self.sends = self.overruns = 0
-        self.caches, self.sources = [], []  # rows tried already
-        self.doubts = {}  # sends that run or may have run: number -> (when, target)
-        self.straight = self.hits_only = self.refused = False
-        self.why = "time"  # why it was given up: where nothing else is said its time was over
+    def __init__(self, lookup, kind_index, answer_rate, state):
+        """kind_index: into the terms' object kinds; answer_rate: KB a second of one answer, 0 if unknown."""
+        rate = answer_rate / SECOND
+        self.id, self.kind_index, self.object, self.group = lookup.id, kind_index, lookup.object, lookup.group
+        self.copy_key = lookup.kind, lookup.object, lookup.part
+        self.placement_key = f"{lookup.object}|{lookup.part}|"  # each part is hashed under its own key
+        self.sending_time = lookup.size / rate if lookup.size and rate else 0.0  # 0: size or rate unknown
+        self.due, self.state = lookup.due, state
+        self.send_count = self.overruns = 0
+        self.tried_caches, self.tried_sources = [], []  # rows
+        self.possible_runs = {}  # sends that run or may have run: send number -> (when, target)
+        self.bypassed_caches = self.hits_only = self.fill_refused = False
+        self.reason = "time"  # why it was given up; "time" unless another reason is set
 
 
 class PendingSend:
-    """A send whose end has not come."""
+    """A send whose end has not been reported. target, source and upstream are rows.
 
-    __slots__ = ("target", "source", "kind", "work", "at", "limited", "via", "calm", "missed")
+    upstream: the parent or origin that feeds the fill, None without a fill; early_timeout: it times out
+    before the client's deadline; target_idle: the target was not busy when it was sent.
+    """
 
-    def __init__(self, target, source, via, kind, work, at, limited, calm):
-        self.target, self.source, self.via = target, source, via  # via: what feeds it from outside
-        self.kind, self.work, self.at, self.limited, self.calm = kind, work, at, limited, calm
-        self.missed = False  # its budget passed, and was counted before its end
+    __slots__ = (
+        "target",
+        "source",
+        "kind_index",
+        "sending_time",
+        "sent_at",
+        "early_timeout",
+        "upstream",
+        "target_idle",
+        "over_budget",
+    )
+
+    def __init__(
+        self, target, source, upstream, kind_index, sending_time, sent_at, early_timeout, target_idle
+    ):
+        self.target, self.source, self.upstream = target, source, upstream
+        self.kind_index, self.sending_time, self.sent_at, self.early_timeout, self.target_idle = (
+            kind_index,
+            sending_time,
+            sent_at,
+            early_timeout,
+            target_idle,
+        )
+        self.over_budget = False  # its budget passed before its end, and the miss was counted then
 
 
 class RouterState:
-    """The tables of one router, the time of the decision that is under way, and what it has said so far."""
+    """The tables of one router, the time of the decision in progress and its effects so far."""
 
     def __init__(self):
         self.now, self.effects = 0, []
-        self.told = None  # what other routers of a fleet say, where they do
-        self.held, self.sent = {}, {}  # id -> Held; (id, send) -> Sent
-        self.alarms, self.tokens = {}, 0
-        self.budgets = []  # (when the budget of a send is over, lookup, number): a heap
-        self.index, self.columns = {}, []  # id of a cache -> row; (column, what a new row begins with)
-        self.ids, self.sort, self.cell, self.where = (self.column(None) for _ in range(4))
-        self.weight, self.phase = self.column(1.0), self.column(interface.GONE)
-        self.out, self.heard = self.column(0), self.column(0)  # sends out there; the last answer from there
-        self.unheard, self.since = self.column(0), self.column(0)  # sends since then; when the first went out
+        self.fleet_view = None  # what the other routers of the fleet report, None outside a fleet
+        self.pending_lookups, self.pending_sends = {}, {}  # id -> PendingLookup; (id, send) -> PendingSend
+        self.alarms, self.last_token = {}, 0
+        self.budget_ends = []  # heap of (end of the send's budget, lookup id, send number)
+        self.row_by_id, self.columns = {}, []  # cache id -> row; (column, initial value of a new row)
+        self.cache_ids, self.machine_type, self.cell, self.zone = (self.add_column(None) for _ in range(4))
+        self.weight, self.phase = self.add_column(1.0), self.add_column(interface.GONE)
+        # Sends in flight to each cache, and when it last answered.
+        self.in_flight, self.last_answer_at = self.add_column(0), self.add_column(0)
+        # Sends since its last answer, and when the first of them went out.
+        self.unanswered, self.unanswered_since = self.add_column(0), self.add_column(0)
         self.edges, self.parents, self.origins = [], [], []  # rows that sends may go to
-        self.reach = 0  # what the location's links carry, at full pace
+        self.edge_capacity = 0  # weight of this location's caches: full-rate answers that their links carry
 
-    def column(self, first):
-        """One more parallel array, to be asked for before there are rows."""
+    def add_column(self, initial):
+        """One more parallel array over the rows; call it before there are rows."""
         column = []
-        self.columns.append((column, first))
+        self.columns.append((column, initial))
         return column
 
-    def row(self, cache):
-        """The row of that cache, begun where it is new."""
-        n = self.index.get(cache.id)
-        if n is None:
-            n = self.index[cache.id] = self._free()
-            for column, first in self.columns:
-                column[n : n + 1] = [first]
-            self.ids[n], self.sort[n] = cache.id, cache.sort
-            self.cell[n], self.where[n] = cache.cell, cache.zone
-        return n
-
-    def _free(self):
-        """One more, or that of a cache that is gone and unnamed: else new ids would fill the columns."""
-        named = {n for sent in self.sent.values() for n in (sent.target, sent.source)}
-        for lk in self.held.values():
-            named.update(lk.caches, lk.sources)
-        for n, phase in enumerate(self.phase):
-            if phase == interface.GONE and n not in named:
-                del self.index[self.ids[n]]
-                return n
-        return len(self.ids)
+    def row_for(self, cache):
+        """The row of this cache, created if it is new."""
+        row = self.row_by_id.get(cache.id)
+        if row is None:
+            row = self.row_by_id[cache.id] = self._free_row()
+            for column, initial in self.columns:
+                column[row : row + 1] = [initial]
+            self.cache_ids[row], self.machine_type[row] = cache.id, cache.sort
+            self.cell[row], self.zone[row] = cache.cell, cache.zone
+        return row
+
+    def _free_row(self):
+        """A new row, or that of a gone cache that nothing refers to: new ids must not grow the columns."""
+        used = {row for send in self.pending_sends.values() for row in (send.target, send.source)}
+        for lookup in self.pending_lookups.values():
+            used.update(lookup.tried_caches, lookup.tried_sources)
+        for row, phase in enumerate(self.phase):
+            if phase == interface.GONE and row not in used:
+                del self.row_by_id[self.cache_ids[row]]
+                return row
+        return len(self.cache_ids)
 
     def keep_only(self, caches):
-        """What a whole list leaves out is gone."""
-        named = {cache.id for cache in caches}
+        """Marks every cache that a whole list leaves out as gone."""
+        listed = {cache.id for cache in caches}
         self.phase[:] = [
-            phase if name in named else interface.GONE for name, phase in zip(self.ids, self.phase)
+            phase if name in listed else interface.GONE for name, phase in zip(self.cache_ids, self.phase)
         ]
 
-    def begin(self, lk, sent, over):
-        """One more send of this lookup is out; over: when its budget is, or None."""
-        number = lk.sends
-        lk.sends += 1
-        lk.doubts[number] = sent.at, sent.target
-        lk.caches.append(sent.target)
-        if sent.source is not None:
-            lk.sources.append(sent.source)
-        self.sent[lk.id, number] = sent
-        self._count(sent, 1)
-        if not self.unheard[sent.target]:
-            self.since[sent.target] = sent.at
-        self.unheard[sent.target] += 1
-        if over is not None:
-            heappush(self.budgets, (over, lk.id, number))
-
-    def end(self, key):
-        """The send whose end has come, or None."""
-        sent = self.sent.pop(key, None)
-        if sent is not None:
-            self._count(sent, -1)
-        return sent
-
-    def hear(self, n):
-        """An answer came from there, whatever to."""
-        self.heard[n], self.unheard[n] = self.now, 0
-
-    def _count(self, sent, by):
-        """What is out at a cache; at a parent or the origin, the fills that it feeds too."""
-        self.out[sent.target] += by
-        if sent.via not in (None, sent.target):
-            self.out[sent.via] += by
-
-    def overdue(self):
-        """Sends that are out though a budget under their key is over. Ids are used again: it may have been
-        another's.
+    def begin_send(self, lookup, send, budget_end):
+        """Records one more send of this lookup; budget_end: when its budget is over, or None."""
+        number = lookup.send_count
+        lookup.send_count += 1
+        lookup.possible_runs[number] = send.sent_at, send.target
+        lookup.tried_caches.append(send.target)
+        if send.source is not None:
+            lookup.tried_sources.append(send.source)
+        self.pending_sends[lookup.id, number] = send
+        self._add_in_flight(send, 1)
+        if not self.unanswered[send.target]:
+            self.unanswered_since[send.target] = send.sent_at
+        self.unanswered[send.target] += 1
+        if budget_end is not None:
+            heappush(self.budget_ends, (budget_end, lookup.id, number))
+
+    def end_send(self, key):
+        """Removes the pending send of this (lookup id, send number) and returns it, or None."""
+        send = self.pending_sends.pop(key, None)
+        if send is not None:
+            self._add_in_flight(send, -1)
+        return send
+
+    def record_answer(self, row):
+        """Notes that this cache has just answered, whatever the request was."""
+        self.last_answer_at[row], self.unanswered[row] = self.now, 0
+
+    def _add_in_flight(self, send, change):
+        """Counts the send at its target and, if it fills, at the parent or origin that feeds the fill."""
+        self.in_flight[send.target] += change
+        if send.upstream not in (None, send.target):
+            self.in_flight[send.upstream] += change
+
+    def sends_over_budget(self):
+        """Pending sends for whose key a budget has passed. Ids are reused, so that budget may have been that
+        of an earlier send with the same key.
         """
-        while self.budgets and self.budgets[0][0] <= self.now:
-            sent = self.sent.get(heappop(self.budgets)[1:])
-            if sent is not None:
-                yield sent
+        while self.budget_ends and self.budget_ends[0][0] <= self.now:
+            send = self.pending_sends.get(heappop(self.budget_ends)[1:])
+            if send is not None:
+                yield send
 
-    def say(self, effect):
+    def emit(self, effect):
+        """Adds an effect to those of the decision in progress."""
         self.effects.append(effect)
 
-    def alarm(self, delay, what):
-        """what: handed back by ring() once the alarm of this token has come."""
-        self.tokens += 1
-        self.alarms[self.tokens] = what
-        self.say(interface.SetAlarm(delay, self.tokens))
+    def set_alarm(self, delay, payload):
+        """Requests an alarm; take_alarm() returns payload, (lookup id or None, word), once it goes off."""
+        self.last_token += 1
+        self.alarms[self.last_token] = payload
+        self.emit(interface.SetAlarm(delay, self.last_token))
 
-    def alarms_of(self, word):
-        """Tokens of those that are set for it, the first set first."""
+    def alarm_tokens(self, word):
+        """Tokens of the alarms set for this word, in the order in which they were set."""
         return [token for token, (_, what) in self.alarms.items() if what == word]
 
-    def ring(self, token):
+    def take_alarm(self, token):
+        """Removes the alarm of this token and returns its payload, (None, None) if there is none."""
         return self.alarms.pop(token, (None, None))
--- a/hookrouter/trace/rows.py
+++ b/hookrouter/trace/rows.py
@@ -82,14 +82,14 @@
 
 
 def belief(control, effect):
-    n, source = control.index[effect.cache], getattr(effect, "source", None)
+    n, source = control.row_by_id[effect.cache], getattr(effect, "source", None)
     via = None
     if source is not None:  # what feeds it: a parent or the origin that is the target itself
-        via = n if n not in control.edges else control.index[source]
+        via = n if n not in control.edges else control.row_by_id[source]
     return (
-        control.out[n],
+        control.in_flight[n],
         control.windows.room[n],
-        None if via is None else control.out[via],
+        None if via is None else control.in_flight[via],
         None if via is None else control.windows.room[via],
     )
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -40,7 +40,7 @@
     for n in control.parents[:1]:
         control.health.set_aside(n)
     assert (
-        sends(control.decide(1_000_000, [lookup(1)]))[0].source == control.ids[control.parents[1]]
+        sends(control.decide(1_000_000, [lookup(1)]))[0].source == control.cache_ids[control.parents[1]]
     )  # the other one
     control.health.set_aside(control.parents[1])
     assert {send.source for n in range(2, 8) for send in sends(control.decide(1_000_100, [lookup(n)]))} == {
@@ -88,8 +88,8 @@
     for n in range(1, 60):
         send = sends(control.decide(NOW, [lookup(n)]))[0]
         control.decide(NOW, [ended(send, interface.ERRED if send.cache == "c0" else interface.SATISFIED)])
-    n = control.index["c0"]
-    assert not control.health.usable(n) and control.health.usable(control.index["c1"])
+    n = control.row_by_id["c0"]
+    assert not control.health.usable(n) and control.health.usable(control.row_by_id["c1"])
     for step in range(60, 200):
         now = NOW + step * 1000
         send = sends(control.decide(now, [lookup(step, due=now + SECOND)]))[0]
@@ -121,7 +121,7 @@
     for n in range(1, 5):
         for send in sends(control.decide(NOW, [lookup(n)])):
             control.decide(NOW, [ended(send, interface.UNREACHED)])
-    n = control.index["c0"]
+    n = control.row_by_id["c0"]
     assert control.cold.lost[n] and not control.health.usable(n)
     send = sends(control.decide(NOW + 2 * SECOND, [lookup(9, due=NOW + 5 * SECOND)]))[0]
     control.decide(NOW + 2 * SECOND, [ended(send, interface.SATISFIED)])
@@ -130,8 +130,8 @@
 
 def test_time_outs_alone_do_not_make_a_cache_that_answers_cold():
     control = router([cache("c0"), FLEET[-1]])
-    n = control.index["c0"]
-    control.now, control.heard[n] = NOW, NOW - SECOND
+    n = control.row_by_id["c0"]
+    control.now, control.last_answer_at[n] = NOW, NOW - SECOND
     for _ in range(4):
         control.learning.ended(
             sent_to(control, n), interface.SendEnd(1, 0, interface.LATE, 0, False, 9, "c0", None)
@@ -145,7 +145,7 @@
 
 
 def sent_to(control, n):
-    return PendingSend(n, n, None, 0, 0, NOW, limited=False, calm=False)
+    return PendingSend(n, n, None, 0, 0, NOW, early_timeout=False, target_idle=False)
 
 
 def test_an_older_copy_will_do_once_no_fill_is_to_be_had():
@@ -168,8 +168,8 @@
 
 def test_time_outs_at_a_cache_that_still_answers_do_not_set_it_aside():
     control = router([cache("c0"), FLEET[-1]])
-    n = control.index["c0"]
-    control.heard[n] = NOW + 1
+    n = control.row_by_id["c0"]
+    control.last_answer_at[n] = NOW + 1
     for _ in range(9):
         control.learning.ended(
             sent_to(control, n), interface.SendEnd(1, 0, interface.LATE, 0, False, 9, "c0", None)
@@ -187,7 +187,7 @@
 
 def test_a_shut_window_of_one_parent_sends_its_fills_to_the_next_and_a_shut_gate_for_hits_only():
     control = router(notes="none", topology=MANY)
-    control.windows.room[control.index["p0"]] = 0
+    control.windows.room[control.row_by_id["p0"]] = 0
     assert {sends(control.decide(NOW, [lookup(n)]))[0].source for n in range(1, 20)} == {"p1"}
     control.windows.gate, control.windows.gate_from = 0.0, NOW
     late = [sends(control.decide(NOW, [lookup(n)]))[0] for n in range(20, 29)]
@@ -243,7 +243,7 @@
     for n in range(1, 4):
         first = sends(control.decide(NOW, [lookup(n)]))[0]
         control.decide(NOW, [ended(first, interface.FULL)])
-        seen.append(control.windows.room[control.index["p0"]])
+        seen.append(control.windows.room[control.row_by_id["p0"]])
     assert seen[0] > seen[1] > seen[2]
 
 
@@ -300,13 +300,13 @@
 
 
 def e_number(send, control):
-    return control.held[send.id].sends - 1
+    return control.pending_lookups[send.id].send_count - 1
 
 
 def test_sends_unanswered_at_a_cache_that_answers_others_in_time_do_not_cut_its_window():
     control = router([cache("c0"), FLEET[-1]])
-    n, late = control.index["c0"], interface.SendEnd(1, 0, interface.LATE, 0, False, 9, "c0", None)
-    control.now, control.heard[n], control.windows.room[n] = NOW, NOW + 1, 9.0
+    n, late = control.row_by_id["c0"], interface.SendEnd(1, 0, interface.LATE, 0, False, 9, "c0", None)
+    control.now, control.last_answer_at[n], control.windows.room[n] = NOW, NOW + 1, 9.0
     control.learning.ended(sent_to(control, n), late)
     assert control.windows.room[n] == 9.0
     control.learning.ended(
@@ -322,8 +322,8 @@
 def test_a_cache_that_loses_answers_shuts_no_window_of_its_sources_and_teaches_no_times():
     """Seen on sockets: a quarter of the answers of three caches never came, hits too, and all fills were rationed."""
     control = router(notes="none")
-    c0, p0 = control.index["c0"], control.index["p0"]
-    control.heard[c0], control.windows.room[p0] = 2_000_000, 10.0
+    c0, p0 = control.row_by_id["c0"], control.row_by_id["p0"]
+    control.last_answer_at[c0], control.windows.room[p0] = 2_000_000, 10.0
     lost = lambda via: control.learning.ended(  # noqa: E731
         PendingSend(c0, p0 if via else c0, p0 if via else None, 0, 100, 1_000_000, True, True),
         interface.SendEnd(1, 0, interface.LATE, 0, False, 9_000, "c0", None),
@@ -350,8 +350,8 @@
 
 def test_a_write_lost_at_an_origin_that_answers_others_tells_of_loss_before_any_window_is_shut():
     control = router(notes="none")
-    c0, p0, o0 = (control.index[name] for name in ("c0", "p0", "o0"))
-    control.heard[c0] = control.heard[o0] = 2_000_000
+    c0, p0, o0 = (control.row_by_id[name] for name in ("c0", "p0", "o0"))
+    control.last_answer_at[c0] = control.last_answer_at[o0] = 2_000_000
     control.windows.room[p0] = 10.0
     late = lambda cache: interface.SendEnd(1, 0, interface.LATE, 0, False, 9_000, cache, None)  # noqa: E731
     control.learning.ended(PendingSend(o0, None, None, 2, 0, 1_000_000, False, True), late("o0"))
@@ -367,7 +367,7 @@
     out = [sends(control.decide(NOW, [lookup(n, size=5)]))[0] for n in range(1, 7)]
     assert control.windows.gate == 1.0 and all(send.wait >= 3 * SECOND for send in out)
     control.now = NOW + 1
-    control.hear(0)  # other answers came: it is not the cache that died
+    control.record_answer(0)  # other answers came: it is not the cache that died
     control.decide(NOW + 2 * SECOND, [])
     assert control.windows.gate < 0.2
     once = control.windows.gate
@@ -380,10 +380,13 @@
     first = sends(control.decide(NOW, [lookup(1, size=5)]))[0]
     control.decide(NOW + 100, [ended(first, interface.SATISFIED)])
     second = sends(control.decide(NOW + 9_000, [lookup(1, size=5, due=NOW + 5 * SECOND)]))[0]
-    control.heard[0] = NOW + 9_001
+    control.last_answer_at[0] = NOW + 9_001
     control.decide(NOW + 9_500, [])
     assert (
-        second and control.windows.gate == 1.0 and not control.sent[1, 0].missed and not control.budgets[1:]
+        second
+        and control.windows.gate == 1.0
+        and not control.pending_sends[1, 0].over_budget
+        and not control.budget_ends[1:]
     )
 
 
@@ -420,7 +423,7 @@
     for n in first[:2]:
         control.health.set_aside(n)  # sick, not busy: the next two stand in
     assert sends(control.decide(NOW + 1, [lookup(2, key="k1")]))[0].cache in {
-        control.ids[n] for n in first[2:]
+        control.cache_ids[n] for n in first[2:]
     }
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -130,7 +130,11 @@
     assert not any(way.wire.take() for way in s.net.ways if way.wire is not None)
     s.net.pump([0.5, 0])
     held = s.adds_up()
-    assert held["lookups_held"] == held["sends_out"] == 0 and wire.take() == b"" and not s.router.control.held
+    assert (
+        held["lookups_held"] == held["sends_out"] == 0
+        and wire.take() == b""
+        and not s.router.control.pending_lookups
+    )
 
 
 def test_a_keyed_repeat_never_leaves_once_its_group_may_have_forgotten_the_first(tmp_path):
@@ -191,14 +195,14 @@
     wire.come(message(2))
     s.net.advance(2)
     assert len(answers(wire.take())) == 1 and s.adds_up()["lookups_held"] == 0
-    assert not s.router.control.held
+    assert not s.router.control.pending_lookups
 
 
 def test_nothing_goes_out_after_the_answer_whatever_the_module_says(tmp_path):
     s = Scene(tmp_path)
     wire = s.client()
     wire.come(message(1))
-    number = next(iter(s.router.control.held))
+    number = next(iter(s.router.control.pending_lookups))
     s.router.control.decide = lambda now, inputs: [
         interface.Nack(number, 0),
         interface.Fail(number),
@@ -341,6 +345,6 @@
     for n in range(2, 200):
         s.router.listed(parse_event(json.dumps(members(n, endpoint(f"new{n}", 7100, since=n)))))
         s.router.listed(parse_event(json.dumps(members(n, endpoint(f"new{n}", 7100, status="left")))))
-    assert sorted(s.router.caches.places) == ["c0", "c1", "o0", "p0"] and len(s.router.control.ids) <= 6
+    assert sorted(s.router.caches.places) == ["c0", "c1", "o0", "p0"] and len(s.router.control.cache_ids) <= 6
     s.router.listed(parse_event(json.dumps(members(200, *FLEET[:3], whole=True))))
     assert sorted(s.router.caches.places) == ["c0", "c1", "p0"]
--- a/tests/test_node_floods.py
+++ b/tests/test_node_floods.py
@@ -100,8 +100,8 @@
             s.router.control,
             {(lk.number, n) for lk in s.router.lookups.held() for n in lk.running},
         )
-        assert set(control.sent) == out and sum(control.out) == sum(
-            1 + (sent.via not in (None, sent.target)) for sent in control.sent.values()
+        assert set(control.pending_sends) == out and sum(control.in_flight) == sum(
+            1 + (sent.upstream not in (None, sent.target)) for sent in control.pending_sends.values()
         )
         assert len(out) == len([c for c in s.router.caches.connections.held() if c.send]) + len(
             s.router.caches.waiting
@@ -124,8 +124,8 @@
         == 0
     )
     assert (
-        all(out == 0 for out in s.router.control.out)
-        and not s.router.control.sent
+        all(out == 0 for out in s.router.control.in_flight)
+        and not s.router.control.pending_sends
         and len(s.router.lookups) == 0
     )
     assert s.counters.values["decisions_failed"] == 0
--- a/tests/test_own_copies.py
+++ b/tests/test_own_copies.py
@@ -27,7 +27,7 @@
     control = router(**OWN)
     assert interface.Keep(1, 0) in keeping(control, key="k")
     again = asked(control, 1_010_000, key="k")
-    assert given(again) and not sends(again) and not control.held
+    assert given(again) and not sends(again) and not control.pending_lookups
     assert sends(asked(control, 1_010_000, 98, key="k", part=1)) and sends(
         asked(control, 1_010_000, 97, kind="page", key="k")
     )
@@ -95,7 +95,7 @@
         interface.Give(50),
         interface.Cancel(50, 0),
     ]
-    assert 50 not in control.held
+    assert 50 not in control.pending_lookups
 
 
 def test_where_no_cache_is_left_an_own_copy_may_take_the_whole_budget():
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -71,10 +71,10 @@
     assert made.others("c0", NOW) is None
     for n in range(4):
         made.news(NOW, checks.summary(f"c{n}", 40.0 if n == 0 else 10.0))
-    assert control.placing.load(control.index["c0"]) > 2 * control.placing.load(control.index["c1"])
+    assert control.placing.load(control.row_by_id["c0"]) > 2 * control.placing.load(control.row_by_id["c1"])
     control.now = NOW + made.terms.silent_after + 1
     assert made.others("c0", control.now) is None
-    assert control.placing.load(control.index["c0"]) == control.placing.load(control.index["c1"])
+    assert control.placing.load(control.row_by_id["c0"]) == control.placing.load(control.row_by_id["c1"])
 
 
 def test_a_share_is_asked_for_ceded_once_and_lapses():
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -19,7 +19,7 @@
     With many routers one sends too little to tell a stall from a crowd: calm+mass fell from 0.88 to 0.78.
     """
     control = router(HANDFUL, notes="none", topology=terms().topology._replace(routers=routers))
-    p0 = control.index["p0"]
+    p0 = control.row_by_id["p0"]
     control.windows.room[p0] = before = 20.0
     first = [asked(control, NOW, n) for n in range(1, 5)]
     control.decide(
@@ -38,13 +38,13 @@
 
 def test_sends_late_beside_answers_of_their_cache_still_cut_the_window_of_their_source():
     control = router(HANDFUL, notes="none")
-    p0 = control.windows.room[control.index["p0"]] = 20.0
+    p0 = control.windows.room[control.row_by_id["p0"]] = 20.0
     first = [asked(control, NOW, n) for n in range(1, 5)]
     for n in range(5, 12):  # hits go on
         hit = asked(control, NOW + n * 50 * MS, n)
         control.decide(NOW + n * 50 * MS + 9, [ended(hit, interface.SATISFIED, took=9)])
     control.decide(NOW + 590 * MS, [])
-    assert first and control.windows.room[control.index["p0"]] < p0 / 4
+    assert first and control.windows.room[control.row_by_id["p0"]] < p0 / 4
 
 
 @pytest.mark.parametrize(
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -83,7 +83,7 @@
             way.over or way.up()
         s.net.advance(0.02)
     assert answers(busy.take()).keys() == {1, 2} and stopped and 3.5 < stopped[0] < 3.7
-    assert s.adds_up()["lookups_held"] == 0 and not s.router.control.held
+    assert s.adds_up()["lookups_held"] == 0 and not s.router.control.pending_lookups
 
 
 def test_half_a_lookup_that_never_becomes_whole_does_not_hold_the_exit_up(tmp_path):
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -74,7 +74,7 @@
 def test_of_a_cache_set_aside_only_those_whose_turn_it_is_look_if_it_is_well():
     for may in (True, False):
         control = beside(Told(tries=may))
-        n = control.index["c0"]
+        n = control.row_by_id["c0"]
         assert control.health.usable(n)
         control.health.set_aside(n)
         control.now += 2 * SECOND
