--- a/benchmarks/admission/judge.py
+++ b/benchmarks/admission/judge.py
@@ -2,7 +2,7 @@
 
 from hookrouter.decisions.admission import tickets
 from hookrouter.decisions.admission import words as w
-from hookrouter.errors.wire import Unsealed
+from hookrouter.errors.wire import InvalidTicket
 
 from .gateway import KEY
 
@@ -27,7 +27,7 @@
         """A place that a ticket of another life gave stays until this life has admitted the name."""
         try:
             ticket = tickets.read(KEY, text, conn.sub.name) if text else None
-        except Unsealed:
+        except InvalidTicket:
             ticket = None
         life = gateway.name, gateway.life
         if ticket is not None and (ticket.gateway, ticket.life) != life:
@@ -79,7 +79,7 @@
         if effect.ticket:
             try:
                 ticket = tickets.read(KEY, effect.ticket, conn.sub.name)
-            except Unsealed as wrong:
+            except InvalidTicket as wrong:
                 self.broke(f"a ticket that {conn.sub.name} cannot use: {wrong}")
                 return
             mark = ticket.gateway, ticket.life, ticket.number
--- a/benchmarks/capacity/command.py
+++ b/benchmarks/capacity/command.py
@@ -20,8 +20,8 @@
             return _measure_state()
         return _page(only_check)
     except CapacityError as wrong:
-        print(f"{wrong.start}{wrong.told()}", file=sys.stderr)
-        raise SystemExit(wrong.exit) from None
+        print(f"{wrong.prefix}{wrong.user_message()}", file=sys.stderr)
+        raise SystemExit(wrong.exit_code) from None
 
 
 def _measure_state() -> dict[str, object]:
--- a/benchmarks/capacity/errors.py
+++ b/benchmarks/capacity/errors.py
@@ -1,9 +1,9 @@
 """What can be wrong with the capacity page or with the files that it is computed from."""
 
-from hookrouter.errors import Trouble
+from hookrouter.errors import HookrouterError
 
 
-class CapacityError(Trouble):
+class CapacityError(HookrouterError):
     """The page cannot be computed; the text says what is wrong."""
 
     code = "capacity"
--- a/benchmarks/scale/errors.py
+++ b/benchmarks/scale/errors.py
@@ -1,30 +1,30 @@
 """What can go wrong before or after a scale run, each with a line on what to do."""
 
-from hookrouter.errors import Trouble
+from hookrouter.errors import HookrouterError
 
 
-class TooFewSizes(Trouble, ValueError):
+class TooFewSizes(HookrouterError, ValueError):
     """A formula cannot be told from another by so few sizes; the text says how many there are."""
 
     code = "scale-sizes"
     advice = "measure at three sizes or more, and at four where the largest is to be predicted"
 
 
-class NotEnoughRoom(Trouble):
+class NotEnoughRoom(HookrouterError):
     """The machine lacks memory, descriptors or processes for the run; the text says of what and how much."""
 
     code = "scale-room"
     advice = "free what is named, raise the limit, or ask for a smaller run"
 
 
-class UnreadableResults(Trouble, ValueError):
+class UnreadableResults(HookrouterError, ValueError):
     """The data file is not of the schema that this program writes; the text says where it differs."""
 
     code = "scale-results"
     advice = "measure anew with `python -m benchmarks scale`, or take the file's former version"
 
 
-class ProcessEnded(Trouble):
+class ProcessEnded(HookrouterError):
     """A process of the layout ended by itself; the text names it and shows the end of its log."""
 
     code = "scale-process"
--- a/hookrouter/caches/connection.py
+++ b/hookrouter/caches/connection.py
@@ -52,7 +52,8 @@
             self.answers.feed(data)
         except Malformed as wrong:
             self.caches.log(
-                "cache sent what cannot be read, connection ended", f"{self.place.name}: {wrong.told()}"
+                "cache sent what cannot be read, connection ended",
+                f"{self.place.name}: {wrong.user_message()}",
             )
             self.caches.count("caches_malformed")
             self.caches.lost_answer(self)
--- a/hookrouter/command/__init__.py
+++ b/hookrouter/command/__init__.py
@@ -5,7 +5,7 @@
 
 import click
 
-from ..errors import Trouble
+from ..errors import HookrouterError
 
 DONE, FAILED, WRONG = 0, 1, 2  # exit codes: done; it could not be done; wrong use or wrong input
 
@@ -51,12 +51,12 @@
         commands.main(arguments, prog_name="hookrouter", obj=signals)
     except SystemExit as ended:
         return ended.code or DONE
-    except Trouble as wrong:
+    except HookrouterError as wrong:
         return ended_by(wrong)
     except OSError as wrong:
-        from ..errors.commands import System
+        from ..errors.commands import SystemFailure
 
-        return ended_by(System(wrong))
+        return ended_by(SystemFailure(wrong))
     return DONE
 
 
@@ -68,8 +68,8 @@
 
 def ended_by(trouble):
     """Says what is wrong and what to do; the exit code."""
-    print(f"{trouble.start}{trouble.told()}", file=sys.stderr)
-    return trouble.exit
+    print(f"{trouble.prefix}{trouble.user_message()}", file=sys.stderr)
+    return trouble.exit_code
 
 
 site_option = click.option(
@@ -93,14 +93,14 @@
 
 def sections_of(site_file, *wanted):
     """The sections of the operator's file, of which a command needs some."""
-    from ..errors.site import Lacking, Unnamed
+    from ..errors.site import MissingSection, SiteFileNotNamed
 
     if not site_file:
-        raise Unnamed("the operator's file is wanted: --site FILE or HOOKROUTER_SITE")
+        raise SiteFileNotNamed("the operator's file is wanted: --site FILE or HOOKROUTER_SITE")
     sections = read_site(site_file)
     for name in wanted:
         if name not in sections:
-            raise Lacking(f"{site_file}: there is no section [{name}]; it is needed for this command")
+            raise MissingSection(f"{site_file}: there is no section [{name}]; it is needed for this command")
     return sections
 
 
--- a/hookrouter/command/fleet/asking.py
+++ b/hookrouter/command/fleet/asking.py
@@ -3,7 +3,7 @@
 import os
 import time
 
-from ...errors.commands import NoKeeper
+from ...errors.commands import KeepersUnreachable
 from .. import sections_of
 
 ANSWER_WITHIN = 4.0  # seconds for one command: an election is over by then
@@ -86,5 +86,5 @@
     section = section_of(site_file)
     answer = ask(section, lambda who, life: w.Ask(f"{who}#{life}/1", command, fields)).get("answer")
     if answer is None:
-        raise NoKeeper("no keeper took it; hookrouter fleet status says why")
+        raise KeepersUnreachable("no keeper took it; hookrouter fleet status says why")
     return answer
--- a/hookrouter/command/fleet/changing.py
+++ b/hookrouter/command/fleet/changing.py
@@ -2,7 +2,7 @@
 
 import click
 
-from ...errors.commands import FleetRefused, Misused
+from ...errors.commands import FleetRefused, UsageError
 from .. import site_option
 from . import fleet
 from .asking import commanded, section_of
@@ -28,9 +28,9 @@
     """
     section = section_of(site_file)
     if name not in section["keepers"]:
-        raise Misused(f"{name} is no keeper; {', '.join(section['keepers'])} are")
+        raise UsageError(f"{name} is no keeper; {', '.join(section['keepers'])} are")
     if any(not host.startswith("127.") for host, _ in section["keepers"].values()):
-        raise Misused("a drill is for a fleet on loopback; this one has other addresses")
+        raise UsageError("a drill is for a fleet on loopback; this one has other addresses")
     from .rehearsal import rehearse
 
     if rehearse(section, name, fault, span):
@@ -76,7 +76,7 @@
     Example: hookrouter fleet replace --strike k3 --site site.ini
     """
     if (add is None) == (strike is None):
-        raise Misused("one of --add NAME and --strike NAME is wanted")
+        raise UsageError("one of --add NAME and --strike NAME is wanted")
     answer = commanded(site_file, "replace", [add, strike])
     if answer[0] != "changing":
         raise FleetRefused(answer[0])
--- a/hookrouter/command/fleet/records.py
+++ b/hookrouter/command/fleet/records.py
@@ -3,9 +3,9 @@
 import json
 import os
 
-from ...errors.commands import CopiesDiffer, FleetRefused, Misused, NoKeeper
-from ...errors.site import Lacking
-from ...errors.stores import Damaged, Held, Unusable
+from ...errors.commands import CopiesDiffer, FleetRefused, UsageError, KeepersUnreachable
+from ...errors.site import MissingSection
+from ...errors.stores import DamagedStore, LockedStore, UnusableStore
 from .. import FAILED, sections_of, site_option
 from ..shown import table
 from . import fleet, json_option
@@ -33,7 +33,7 @@
     if as_json:  # it says so itself
         raise SystemExit(FAILED)
     if not found:
-        raise NoKeeper("no keeper answers")
+        raise KeepersUnreachable("no keeper answers")
     raise CopiesDiffer("not all copies are as agreed" if rows else "no keeper keeps records")
 
 
@@ -85,7 +85,7 @@
     sections = sections_of(site_file, "fleet")
     store = sections["fleet"]["store"]
     if store is None:
-        raise Lacking("this member is no keeper: it has no files")
+        raise MissingSection("this member is no keeper: it has no files")
     wrong, held = [], False
     for path in (store, sections.get("desk", {}).get("store")):
         if path is None:
@@ -106,16 +106,16 @@
                 print(f"{path}: {sound} purges are sound")
                 wrong += faults
             log.close()
-        except Unusable as why:
+        except UnusableStore as why:
             wrong.append(str(why))
-            held |= isinstance(why, Held)
+            held |= isinstance(why, LockedStore)
     for line in wrong:
         print(line)
     if wrong:
         raise (
-            Held("end the keeper before its files are looked at")
+            LockedStore("end the keeper before its files are looked at")
             if held
-            else Damaged(
+            else DamagedStore(
                 "start the keeper: what is damaged is put away or set aside, and comes from the others"
             )
         )
@@ -152,7 +152,7 @@
     section = section_of(site_file)
     answers = ask(section, lambda who, life: w.Look(f"{who}#{life}/1"), True, decide)
     if wrong:
-        raise Misused(wrong[0])
+        raise UsageError(wrong[0])
     answer = answers.get("answer")
     if answer is None or answer[0] != "adopted":
         raise FleetRefused(f"not taken over: {'no keeper took it' if answer is None else answer[0]}")
--- a/hookrouter/command/fleet/running.py
+++ b/hookrouter/command/fleet/running.py
@@ -1,6 +1,6 @@
 """fleet serve: a member runs."""
 
-from ...errors.listening import Taken
+from ...errors.listening import ListenRefused
 from .. import run_until, sections_of, site_option, tell_uncaught
 from . import fleet
 
@@ -29,7 +29,7 @@
         member.start()
     except CannotListenError as wrong:
         member.end()
-        raise Taken(f"cannot listen: {wrong}") from None
+        raise ListenRefused(f"cannot listen: {wrong}") from None
 
     def ending():
         if not member.holder.leaving:
--- a/hookrouter/command/fleet/shared.py
+++ b/hookrouter/command/fleet/shared.py
@@ -2,7 +2,7 @@
 
 import json
 
-from ...errors.commands import NoKeeper
+from ...errors.commands import KeepersUnreachable
 from .. import site_option
 from ..shown import table
 from . import fleet, json_option
@@ -23,7 +23,9 @@
     found = ask(section_of(site_file), lambda who, life: w.Roster(f"{who}#{life}/1"), True)
     rows = {name: row["shared"] for name, row in sorted(found.items()) if "shared" in row}
     if not rows:
-        raise NoKeeper("no keeper that shares answers: [sharing] is not set there, or it runs no lookups")
+        raise KeepersUnreachable(
+            "no keeper that shares answers: [sharing] is not set there, or it runs no lookups"
+        )
     if as_json:
         print(json.dumps(rows))
         return
--- a/hookrouter/command/fleet/showing.py
+++ b/hookrouter/command/fleet/showing.py
@@ -5,7 +5,7 @@
 
 import click
 
-from ...errors.commands import NoKeeper
+from ...errors.commands import KeepersUnreachable
 from .. import FAILED, site_option
 from ..shown import table
 from . import fleet, json_option
@@ -50,7 +50,7 @@
         for line in wrong:
             print(line)
     if leader is None:
-        raise SystemExit(FAILED) if as_json else NoKeeper("no keeper leads")
+        raise SystemExit(FAILED) if as_json else KeepersUnreachable("no keeper leads")
 
 
 @fleet.command()
@@ -81,7 +81,7 @@
             return
     found = ask(section, lambda who, life: w.Roster(f"{who}#{life}/1"), True)
     if not found:
-        raise NoKeeper("no keeper answers")
+        raise KeepersUnreachable("no keeper answers")
     if as_json:
         print(json.dumps(found))
         return
@@ -113,7 +113,7 @@
     found = ask(section_of(site_file), lambda who, life: w.Roster(f"{who}#{life}/1", name), True)
     rows = sorted((at, teller, *rest) for teller, told in found.items() for at, *rest in told)
     if not rows:
-        raise NoKeeper(f"no keeper has heard of {name}" if found else "no keeper answers")
+        raise KeepersUnreachable(f"no keeper has heard of {name}" if found else "no keeper answers")
     if as_json:
         names = ("at_ms", "teller", "life", "before", "state", "incarnation", "why", "by")
         print(json.dumps([dict(zip(names, row)) for row in rows]))
@@ -143,7 +143,7 @@
     """
     leader = leading(looked(section_of(site_file)))
     if leader is None:
-        raise NoKeeper("no keeper leads; hookrouter fleet status says why")
+        raise KeepersUnreachable("no keeper leads; hookrouter fleet status says why")
     rows = leader["duties"]
     if as_json:
         print(
--- a/hookrouter/command/purges/calls.py
+++ b/hookrouter/command/purges/calls.py
@@ -4,7 +4,7 @@
 import json
 import time
 
-from ...errors.commands import Denied, DeskRefused, NoDesk, NotDesk
+from ...errors.commands import DeskAccessDenied, DeskRefused, DeskUnreachable, NotADesk
 from .. import FAILED, WRONG
 
 CALL_WITHIN = 10.0  # seconds for one answer of the desk
@@ -34,15 +34,15 @@
                 answer = connection.getresponse()
                 status, data = answer.status, json.loads(answer.read())
             except ValueError:
-                raise NotDesk(f"{host}:{port} does not answer this as a desk does") from None
+                raise NotADesk(f"{host}:{port} does not answer this as a desk does") from None
             except (OSError, http.client.HTTPException) as wrong:
                 if last:
-                    raise NoDesk(f"no desk at {host}:{port}: {wrong}") from None
+                    raise DeskUnreachable(f"no desk at {host}:{port}: {wrong}") from None
                 status = None
             finally:
                 connection.close()
             if status == 401:
-                raise Denied(said(data, status))
+                raise DeskAccessDenied(said(data, status))
             if status is not None and (status != 503 or last):
                 return status, data
             time.sleep(PAUSE)
@@ -53,7 +53,7 @@
     status, data = answer
     if status != 200:
         refused = DeskRefused(said(data, status))
-        refused.exit = WRONG if status in (400, 404, 409) else FAILED
+        refused.exit_code = WRONG if status in (400, 404, 409) else FAILED
         raise refused
     return data
 
--- a/hookrouter/command/purges/serving.py
+++ b/hookrouter/command/purges/serving.py
@@ -10,7 +10,7 @@
     from twisted.internet.error import CannotListenError
 
     from ...desk.web import site
-    from ...errors.listening import Taken
+    from ...errors.listening import ListenRefused
 
     tell_uncaught(log)
     desk = make(reactor)
@@ -20,7 +20,7 @@
     except CannotListenError as wrong:
         desk.stop()
         desk.store.end() if submits else None
-        raise Taken(f"cannot listen: {wrong}") from None
+        raise ListenRefused(f"cannot listen: {wrong}") from None
 
     def ending():
         if not desk.stopped:
--- a/hookrouter/command/purges/showing.py
+++ b/hookrouter/command/purges/showing.py
@@ -5,7 +5,7 @@
 
 import click
 
-from ...errors.commands import Misused
+from ...errors.commands import UsageError
 from .. import sections_of, site_option
 from ..shown import table
 from . import purges
@@ -28,13 +28,13 @@
     sections = sections_of(site_file, "purges")
     address = None
     if at:
-        from ...site import Wrong
+        from ...site import InvalidValue
         from ...site import address as read_address
 
         try:
             address = read_address(at, "")
-        except Wrong as wrong:
-            raise Misused(f"--at: {wrong}") from None
+        except InvalidValue as wrong:
+            raise UsageError(f"--at: {wrong}") from None
     desk = Desk(sections, address)
     facts = good(desk.call("GET", f"/v1/purges/{number}" if number else "/v1/status"))
     if as_json:
--- a/hookrouter/command/purges/submitting.py
+++ b/hookrouter/command/purges/submitting.py
@@ -10,7 +10,7 @@
 
 import click
 
-from ...errors.commands import BadInput, Missing, Misused, NotYet
+from ...errors.commands import InvalidInput, FileUnavailable, UsageError, PurgeNotInEffect
 from .. import sections_of, site_option
 from . import purges
 from .calls import Desk, good
@@ -59,7 +59,7 @@
     items += [{"sort": "glob", "what": what} for what in pattern]
     items += listed(from_file) if from_file else []
     if not items:
-        raise Misused("nothing to purge; name an object, group, tag or pattern (see --help)")
+        raise UsageError("nothing to purge; name an object, group, tag or pattern (see --help)")
     desk = Desk(sections)
     body = {"key": key or made_up_key(), "purges": items, "everything": everything}
     accepted = good(desk.call("POST", "/v1/purges", body))
@@ -82,7 +82,7 @@
             took = facts["in_effect_ms"] - facts["accepted_ms"]
             print(f"in effect since {clock(facts['in_effect_ms'])}, {took} ms after it was accepted")
     if wait and not facts["in_effect_ms"]:
-        raise NotYet(
+        raise PurgeNotInEffect(
             f"not in effect after {span:g} s; it will be by {clock(facts['latest_ms'])} at the "
             f"latest, behind: {behind(facts)}"
         )
@@ -94,15 +94,17 @@
         with sys.stdin if name == "-" else open(name, encoding="utf-8") as file:
             lines = file.readlines()
     except UnicodeDecodeError:
-        raise BadInput(f"{name}: not UTF-8 text") from None
+        raise InvalidInput(f"{name}: not UTF-8 text") from None
     except OSError as wrong:
-        raise Missing(f"{name}: {wrong.strerror}") from None
+        raise FileUnavailable(f"{name}: {wrong.strerror}") from None
     items = []
     for number, line in enumerate(lines, 1):
         kind, _, what = line.strip().partition(" ")
         if kind and not kind.startswith("#"):
             if kind not in KINDS or not what:
-                raise BadInput(f"line {number}: wanted is SORT NAME, and a sort is one of {', '.join(KINDS)}")
+                raise InvalidInput(
+                    f"line {number}: wanted is SORT NAME, and a sort is one of {', '.join(KINDS)}"
+                )
             items.append({"sort": kind, "what": what.strip()})
     return items
 
--- a/hookrouter/command/purges/verifying.py
+++ b/hookrouter/command/purges/verifying.py
@@ -6,7 +6,7 @@
 
 import click
 
-from ...errors.commands import Missing
+from ...errors.commands import FileUnavailable
 from .. import sections_of, site_option
 from . import purges
 
@@ -20,12 +20,12 @@
 
     Example: hookrouter purges verify --store purges.db
     """
-    from ...errors.stores import Damaged
+    from ...errors.stores import DamagedStore
     from ...stores import PurgeLog
 
     store = store or sections_of(site_file, "purges", "desk")["desk"]["store"]
     if not os.path.exists(store):
-        raise Missing(f"{store}: there is no such file")
+        raise FileUnavailable(f"{store}: there is no such file")
     log = PurgeLog(store, must_exist=True)
     sound, faults = log.verify()
     log.close()
@@ -36,7 +36,7 @@
     if faults:
         for fault in faults:
             print(f"hookrouter: {fault}", file=sys.stderr)
-        raise Damaged(
+        raise DamagedStore(
             "the store is damaged; restore a copy, start the desk on it (it begins a new epoch), "
             "and repeat the purges made since that copy"
         )
--- a/hookrouter/command/router.py
+++ b/hookrouter/command/router.py
@@ -13,11 +13,11 @@
 def read_again(site_file):
     """Both files as they are now, for a reload; Malformed names what cannot be used."""
     from ..node.start import read_start
-    from ..site import Refused, read
+    from ..site import InvalidSiteFile, read
 
     try:
         return read_start(os.environ, sections=read(site_file) if site_file else {})
-    except Refused as wrong:
+    except InvalidSiteFile as wrong:
         raise Malformed("; ".join(wrong.lines)) from None
 
 
--- a/hookrouter/command/trace.py
+++ b/hookrouter/command/trace.py
@@ -6,9 +6,9 @@
 
 import click
 
-from ..errors import Trouble
-from ..errors.commands import Missing, NotReplayed
-from ..errors.stores import NoTraces, Unreadable
+from ..errors import HookrouterError
+from ..errors.commands import FileUnavailable, TraceNotReplayable
+from ..errors.stores import NoTraceFound, UnreadableTrace
 from ..terms import SECOND
 from . import FAILED, ended_by
 from .shown import table
@@ -30,7 +30,7 @@
     for path in paths:
         files += [path for _, path in segments(path)] if os.path.isdir(path) else [path]
     if not files:
-        raise NoTraces(
+        raise NoTraceFound(
             f"{', '.join(paths)}: no traces there; " "wanted are NAME.NUMBER.trace or folders of them"
         )
     return files
@@ -58,14 +58,14 @@
                             yield name, header
                     else:
                         yield name, read_row(line)
-                except Unreadable as wrong:
+                except UnreadableTrace as wrong:
                     if name is None:
-                        raise Unreadable(f"{path}: {wrong}") from None
+                        raise UnreadableTrace(f"{path}: {wrong}") from None
                     bad += 1
-        except Trouble as wrong:
+        except HookrouterError as wrong:
             ended_by(wrong)
         except OSError as wrong:
-            ended_by(Missing(f"{path}: {wrong.strerror}"))
+            ended_by(FileUnavailable(f"{path}: {wrong.strerror}"))
         if bad:
             print(f"hookrouter: {path}: {bad} lines cannot be read, left out", file=sys.stderr)
 
@@ -162,8 +162,8 @@
         else:
             made.begin(row)
     if not made.ends:
-        nothing = NoTraces("no lookup has its end in these traces")
-        nothing.exit = FAILED
+        nothing = NoTraceFound("no lookup has its end in these traces")
+        nothing.exit_code = FAILED
         raise nothing
     course, kinds, lost, sends, beliefs, sizes = (
         made.by_second(step),
@@ -255,7 +255,7 @@
         try:
             made[name].take(row)
         except (KeyError, TypeError, IndexError, AttributeError) as wrong:
-            raise NotReplayed(
+            raise TraceNotReplayable(
                 f"{name}: a {row.event} at {row.at} that this build cannot play: {wrong!r}; "
                 "wanted is the trace of a whole life, from its first segment on"
             ) from None
--- a/hookrouter/decisions/admission/gate.py
+++ b/hookrouter/decisions/admission/gate.py
@@ -6,7 +6,7 @@
 failures in distributed systems", 2021). Who is not admitted keeps no state here but one row.
 """
 
-from ...errors.wire import Unsealed
+from ...errors.wire import InvalidTicket
 from . import slots, tickets
 from . import words as w
 from .comer import CAP, EACH
@@ -236,7 +236,7 @@
             return None
         try:
             ticket = tickets.read(self.terms.key, come.ticket, come.name)
-        except Unsealed:
+        except InvalidTicket:
             self._count("unsealed")
             return None
         if (ticket.gateway, ticket.life) == (self.terms.name, self.terms.life):
--- a/hookrouter/decisions/admission/tickets.py
+++ b/hookrouter/decisions/admission/tickets.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ...errors.wire import Unsealed
+from ...errors.wire import InvalidTicket
 
 SEAL = 16  # bytes of HMAC-SHA256: a guess costs a connection
 MOST = 400  # characters: two names of 64, three numbers and the seal are below it
@@ -39,19 +39,19 @@
 
 
 def read(key, text, name):
-    """The Ticket; Unsealed where it is not one of this key for that name."""
+    """The Ticket; InvalidTicket where it is not one of this key for that name."""
     if len(text) > MOST:
-        raise Unsealed("longer than a ticket")
+        raise InvalidTicket("longer than a ticket")
     try:
         data = bytes.fromhex(text)
     except ValueError:
-        raise Unsealed("not a ticket's text") from None
+        raise InvalidTicket("not a ticket's text") from None
     if not hmac.compare_digest(hmac.digest(key, data[SEAL:], "sha256")[:SEAL], data[:SEAL]):
-        raise Unsealed("another seal")
+        raise InvalidTicket("another seal")
     try:
         ticket = _decode(data[SEAL:])
     except msgspec.MsgspecError as wrong:
-        raise Unsealed(f"not a ticket of this version: {wrong}") from None
+        raise InvalidTicket(f"not a ticket of this version: {wrong}") from None
     if ticket.name != name:
-        raise Unsealed("another's ticket")
+        raise InvalidTicket("another's ticket")
     return ticket
--- a/hookrouter/decisions/warming/lists.py
+++ b/hookrouter/decisions/warming/lists.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ...errors.wire import Unfit
+from ...errors.wire import UnusableList
 from . import words as w
 
 MOST_BYTES = 400_000  # of one list
@@ -36,24 +36,24 @@
 
 
 def read(data):
-    """A Lent from bytes; Unfit where it is none, or claims more than its own total."""
+    """A Lent from bytes; UnusableList where it is none, or claims more than its own total."""
     if len(data) > MOST_BYTES:
-        raise Unfit(f"a list of {len(data)} bytes, {MOST_BYTES} are the most")
+        raise UnusableList(f"a list of {len(data)} bytes, {MOST_BYTES} are the most")
     try:
         lent = msgspec.msgpack.decode(data, type=w.Lent)
     except msgspec.DecodeError as wrong:
-        raise Unfit(f"a list cannot be read: {wrong}") from None
+        raise UnusableList(f"a list cannot be read: {wrong}") from None
     return fit(lent)
 
 
 def fit(lent):
-    """The list, or Unfit where it contradicts itself or is too old to be of use."""
+    """The list, or UnusableList where it contradicts itself or is too old to be of use."""
     if lent.age > OLDEST:
-        raise Unfit("a list is older than a minute")
+        raise UnusableList("a list is older than a minute")
     if len({row.name for row in lent.rows}) != len(lent.rows):
-        raise Unfit("a list names something twice")
+        raise UnusableList("a list names something twice")
     if sum(row.weight for row in lent.rows) > lent.total:
-        raise Unfit("a list claims more than was asked for in all")
+        raise UnusableList("a list claims more than was asked for in all")
     return lent
 
 
--- a/hookrouter/desk/local_store.py
+++ b/hookrouter/desk/local_store.py
@@ -13,7 +13,7 @@
 from ..purges.submissions import MOST_ITEMS
 from ..purges.tail import RECENT, Tail
 from ..purges.types import Purge
-from ..stores import PurgeLog, Unusable
+from ..stores import PurgeLog, UnusableStore
 from ..stores.purge_log import Loaded
 from ..stores.purge_slices import Terms
 from .store import Read
@@ -41,7 +41,7 @@
 class LocalStore:
     """What keeps a desk's order; where the fleet's log does, fleet/member/purges.py stands in its place.
 
-    Each Deferred fires once what was asked is on disk; it fails with sqlite3.Error, or Unusable on reopen.
+    Each Deferred fires once what was asked is on disk; it fails with sqlite3.Error, or UnusableStore on reopen.
     """
 
     def __init__(self, reactor: IReactorThreads, path: str, purges: Mapping[str, Any]) -> None:
@@ -53,14 +53,14 @@
         self.pool.start()
 
     def read(self, least: int) -> Read:
-        """All of it under a new epoch, not below least; blocks. Unusable names the file and what is wrong."""
+        """All of it under a new epoch, not below least; blocks. UnusableStore names the file and what is wrong."""
         self.store = PurgeLog(self.path)
         try:
             loaded = self.store.load(self.terms.hold, self.terms.most_sealed)
             epoch = self.store.begin(max(least, int(time.time() * 1_000)))
         except sqlite3.Error as wrong:
             self.store.close()
-            raise Unusable(f"{self.path}: {wrong}") from None
+            raise UnusableStore(f"{self.path}: {wrong}") from None
         except BaseException:
             self.store.close()
             raise
--- a/hookrouter/errors/__init__.py
+++ b/hookrouter/errors/__init__.py
@@ -6,26 +6,26 @@
 AREAS = ("commands", "listening", "platform", "site", "stores", "wire")
 
 
-class Trouble(Exception):
+class HookrouterError(Exception):
     """The text says what is wrong. code: short, never used for something else; exit: of a command it ends."""
 
     code = "trouble"
     advice = "look at what is named; if that is in order, report the line"
-    exit = 1
-    start = "hookrouter: "  # of what a command says
+    exit_code = 1
+    prefix = "hookrouter: "  # of what a command says
 
-    def told(self):
+    def user_message(self):
         """One line for a person: what is wrong, what to do, and the code to look it up by."""
         return f"{self}; do: {self.advice} ({self.code})"
 
 
-def every():
+def errors_by_code():
     """All kinds, by code."""
     from importlib import import_module
 
     for area in AREAS:
         import_module(f".{area}", __name__)
-    found, kinds = {}, [Trouble]
+    found, kinds = {}, [HookrouterError]
     while kinds:
         kind = kinds.pop()
         kinds += kind.__subclasses__()
--- a/hookrouter/errors/listening.py
+++ b/hookrouter/errors/listening.py
@@ -1,9 +1,9 @@
 """Addresses at which something listens."""
 
-from . import Trouble
+from . import HookrouterError
 
 
-class Taken(Trouble):
+class ListenRefused(HookrouterError):
     """It cannot listen there; the text is the system's."""
 
     code = "listen-refused"
--- a/hookrouter/errors/platform.py
+++ b/hookrouter/errors/platform.py
@@ -1,11 +1,11 @@
 """What the platform gives a router: its variables, the file that EDGE_CONFIG names, the settings therein."""
 
-from . import Trouble
+from . import HookrouterError
 
 
-class Malformed(Trouble, ValueError):
+class Malformed(HookrouterError, ValueError):
     """A variable, a key or an event that cannot be read; the text names it."""
 
     code = "platform-value"
     advice = "correct that variable, or that key of the file that EDGE_CONFIG names; hookrouter check tells"
-    exit = 2
+    exit_code = 2
--- a/hookrouter/feed/follower.py
+++ b/hookrouter/feed/follower.py
@@ -41,7 +41,7 @@
         try:
             self.answers.feed(data)
         except (http1.Malformed, sse.Malformed) as wrong:
-            self.feed.end(self, wrong.told())
+            self.feed.end(self, wrong.user_message())
 
     def _on_head(self, answer):
         if answer.status != 200:
--- a/hookrouter/feed/slices.py
+++ b/hookrouter/feed/slices.py
@@ -14,7 +14,7 @@
 from twisted.internet.interfaces import IReactorTCP
 from twisted.python.failure import Failure
 
-from ..errors.wire import NotSlice
+from ..errors.wire import MalformedSlice
 from ..log import Log
 from ..purges.catch_up import CatchUp
 from ..purges.retention.archive import SliceState
@@ -121,9 +121,9 @@
             return
         self._busy = False
         self._refused += 1
-        if failure.check(NotSlice):
+        if failure.check(MalformedSlice):
             self._count("slices_refused")
-            self._log("sealed slice of purges is not as listed, fetched again", failure.value.told())
+            self._log("sealed slice of purges is not as listed, fetched again", failure.value.user_message())
         else:
             self._count("slices_failed")
         if self._refused >= MOST_REFUSED:
--- a/hookrouter/fleet/member/asker.py
+++ b/hookrouter/fleet/member/asker.py
@@ -5,7 +5,7 @@
 from twisted.internet.defer import Deferred
 
 from ...decisions.owners import words as w
-from ...errors.wire import Lost
+from ...errors.wire import DutyLost
 
 ASK_AGAIN = 0.3  # seconds until a command without an answer is asked again
 MOST_WAITING = 1_000
@@ -24,7 +24,7 @@
         self.count += 1
         done = Deferred()
         if self.stopped or len(self.waiting) >= MOST_WAITING:
-            done.errback(Lost("the duty is another's now"))
+            done.errback(DutyLost("the duty is another's now"))
             return done
         self.waiting.append((w.Ask(f"{self.who}/{self.count}", command, fields), done))
         if len(self.waiting) == 1:
@@ -55,7 +55,7 @@
         """What waits ends now."""
         waiting, self.waiting = self.waiting, deque()
         for _, done in waiting:
-            done.errback(Lost("the duty is another's now"))
+            done.errback(DutyLost("the duty is another's now"))
 
     def stop(self):
         self.stopped = True
--- a/hookrouter/fleet/member/purges.py
+++ b/hookrouter/fleet/member/purges.py
@@ -15,7 +15,7 @@
 from ...desk.desk import Desk
 from ...desk.paced import paced
 from ...stores.purge_rows import pack
-from .asker import Lost
+from .asker import DutyLost
 from .records import DUTY
 
 SWEEPING = "sweep/purges"
@@ -35,7 +35,7 @@
 
     def _told(self, result, wanted):
         if result[0] != wanted:
-            raise Lost(f"the log says {result[0]}")
+            raise DutyLost(f"the log says {result[0]}")
 
     def append(self, batch):
         first, bodies = batch[0][0].n, [pack(purge, key) for purge, key in batch]
@@ -103,10 +103,10 @@
 
     def _opened(self, result):
         if result[0] != "open":
-            raise Lost(f"the log says {result[0]}")
+            raise DutyLost(f"the log says {result[0]}")
         _, epoch, newest = result
         if self.records.copy.newest != newest:
-            raise Lost(f"its copy ends at {self.records.copy.newest}, the log at {newest}")
+            raise DutyLost(f"its copy ends at {self.records.copy.newest}, the log at {newest}")
         return self.records.read(epoch)
 
     def _began(self, read, warrant):
@@ -140,7 +140,7 @@
         """Under the number of the grant, or not at all."""
         act = None if self.warrant is None else self.warrant.act(self.clock(), fields)
         if act is None:
-            return fail(Lost("the warrant is over"))
+            return fail(DutyLost("the warrant is over"))
         return self.asker.ask(command, [act.duty, act.number, *act.what])
 
 
--- a/hookrouter/fleet/member/records.py
+++ b/hookrouter/fleet/member/records.py
@@ -14,8 +14,8 @@
 from ...decisions.replicas import copy as c
 from ...desk.local_store import SEALED_AT_ONCE, replayed
 from ...desk.sealing import SealingLoop
-from ...errors.stores import Damaged, Differs
-from ...stores import PurgeLog, Unusable
+from ...errors.stores import DamagedStore, CopyDiffers
+from ...stores import PurgeLog, UnusableStore
 
 DUTY = "purges"
 PART = 400_000  # bytes of records sent to one that fetches, at a time: a frame takes them
@@ -57,11 +57,11 @@
             self.store = PurgeLog(self.path)
             self.store.load(self.terms.hold, self.terms.most_sealed)
             return c.Store(*self.store.position())
-        except Damaged as wrong:
+        except DamagedStore as wrong:
             self.log("copy is damaged, put away and filled anew", str(wrong), level="error")
             return self._put_away()
         except sqlite3.Error as wrong:
-            raise Unusable(f"{self.path}: {wrong}") from None
+            raise UnusableStore(f"{self.path}: {wrong}") from None
 
     def _put_away(self):
         if self.store is not None:
@@ -148,7 +148,7 @@
     def _not_written(self, failure, token):
         if self.stopped:
             return
-        differs = failure.check(Differs) is not None
+        differs = failure.check(CopyDiffers) is not None
         self.log(
             "copy of purges: " + ("differs" if differs else "cannot be written"),
             failure.getErrorMessage(),
--- a/hookrouter/fleet/member/service.py
+++ b/hookrouter/fleet/member/service.py
@@ -11,7 +11,7 @@
 from ...decisions.owners.duties import DONE
 from ...decisions.owners.keeper import BROKEN
 from ...feed.purges import steady
-from ...stores import Unusable
+from ...stores import UnusableStore
 from ...stores.keeper_log import KeeperLog
 from ...terms import SECOND
 from ..wire import Peers
@@ -117,7 +117,7 @@
             return self.store.load()
         except sqlite3.Error as wrong:
             self.store.close()
-            raise Unusable(f"{self.fleet['store']}: {wrong}") from None
+            raise UnusableStore(f"{self.fleet['store']}: {wrong}") from None
 
     def start(self):
         self.peers.listen(*self.fleet["listen"])
--- a/hookrouter/fleet/member/sharing.py
+++ b/hookrouter/fleet/member/sharing.py
@@ -7,7 +7,7 @@
 from ...decisions.sharing import words as w
 from ...decisions.sharing.exchange import Exchange
 from ...decisions.view.words import DEAD
-from ...errors.wire import TooLong
+from ...errors.wire import DatagramTooLong
 from ...feed.purges import steady
 from ..wire.post import Parcel
 from .lists import Lists
@@ -56,7 +56,7 @@
     def post(self, name, topic, data):
         """Whether it was sent; it may be lost on its way. TooLong: over 900 bytes."""
         if len(data) > MOST_DATA:
-            raise TooLong(f"{len(data)} bytes of {topic}, {MOST_DATA} at most")
+            raise DatagramTooLong(f"{len(data)} bytes of {topic}, {MOST_DATA} at most")
         return self._post(name, topic, data)
 
     def on_summary(self, listener):
--- a/hookrouter/fleet/member/warming.py
+++ b/hookrouter/fleet/member/warming.py
@@ -6,7 +6,7 @@
 from ...decisions.warming import Lender, lists
 from ...decisions.warming import words as w
 from ...decisions.warming.rank import rank
-from ...errors.wire import Lost, Unfit
+from ...errors.wire import DutyLost, UnusableList
 from ...feed.purges import steady
 from .asker import Asker
 from .warmed import Warmed
@@ -121,7 +121,7 @@
         self.asker.ask(DECLARE, [f"{self.sort}/{name}"]).addErrback(self._unasked)
 
     def _unasked(self, failure):
-        failure.trap(Lost)
+        failure.trap(DutyLost)
 
     def _late(self, late):
         for warmed in self.at_work.values():
@@ -176,7 +176,7 @@
                 told = read_popular(data)
                 course = next((one for one in told.courses if one.cache == cache), None)
                 lent = told.lent and lists.fit(told.lent)
-        except (msgspec.MsgspecError, Unfit) as wrong:
+        except (msgspec.MsgspecError, UnusableList) as wrong:
             self.log("a neighbour's list was put aside", f"{lender}: {wrong}", level="warn")
             self.count("warming_lists_unfit")
         came(lender, lent, course)
--- a/hookrouter/fleet/wire/wire.py
+++ b/hookrouter/fleet/wire/wire.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ...decisions.owners.words import Message
-from ...errors.wire import NotMember as Malformed
+from ...errors.wire import MalformedFrame as Malformed
 from .post import Parcel
 
 SEAL = 32  # bytes: HMAC-SHA256 (RFC 2104)
--- a/hookrouter/front/connection.py
+++ b/hookrouter/front/connection.py
@@ -57,7 +57,7 @@
             else:
                 self._read_on(messages, withdrawn)
         except Malformed as wrong:
-            self.front.log("client sent what cannot be read, connection ended", wrong.told())
+            self.front.log("client sent what cannot be read, connection ended", wrong.user_message())
             self.front.count("clients_malformed")
             self.cut()
 
--- a/hookrouter/node/service.py
+++ b/hookrouter/node/service.py
@@ -5,7 +5,7 @@
 from twisted.internet.error import CannotListenError
 from twisted.logger import LogLevel, formatEvent, globalLogBeginner
 
-from ..errors.listening import Taken
+from ..errors.listening import ListenRefused
 from ..front import Listener
 from ..site import follows
 from ..terms import SECOND, Malformed
@@ -43,7 +43,7 @@
             if self.member is not None:
                 self.member.start()
         except CannotListenError as wrong:
-            self.log("cannot listen", Taken(wrong).told())
+            self.log("cannot listen", ListenRefused(wrong).user_message())
             if self.member is not None:
                 self.member.end()
             return 1
@@ -86,7 +86,7 @@
             start = self.read()
         except Malformed as wrong:
             self.counters.count("reloads_refused")
-            self.log("reload refused, all stays as it was", wrong.told())
+            self.log("reload refused, all stays as it was", wrong.user_message())
             return
         self.counters.count("reloads")
         left = [key for key in FIXED if getattr(start, key) != getattr(self.start, key)]
--- a/hookrouter/parsers/http1.py
+++ b/hookrouter/parsers/http1.py
@@ -3,7 +3,7 @@
 A body ends by its length, by its last chunk, or, where allowed, with the connection.
 """
 
-from ..errors.wire import NotHttp as Malformed
+from ..errors.wire import MalformedHttp as Malformed
 
 LONGEST_HEAD = 16_384  # bytes; what caches send has some hundreds
 LONGEST_LINE = 1_024  # bytes of a chunk's size with its extensions, or of a trailer
--- a/hookrouter/parsers/sse.py
+++ b/hookrouter/parsers/sse.py
@@ -1,6 +1,6 @@
 """Server-sent events: lines in, events out. A line may end by CR, LF or both."""
 
-from ..errors.wire import NotEvents as Malformed
+from ..errors.wire import MalformedEvents as Malformed
 
 LONGEST_LINE = 4_194_304  # bytes: a whole list of some thousand caches has under one million
 LONGEST_EVENT = 4_194_304  # bytes of data in one event
--- a/hookrouter/parsers/thrift.py
+++ b/hookrouter/parsers/thrift.py
@@ -5,7 +5,7 @@
 
 from struct import Struct
 
-from ..errors.wire import NotThrift as Malformed
+from ..errors.wire import MalformedThrift as Malformed
 
 VERSION = 0x80010000  # of the strict protocol, with the kind of message in the last byte
 CALL, REPLY, EXCEPTION, ONEWAY = 1, 2, 3, 4
--- a/hookrouter/purges/slice_codec.py
+++ b/hookrouter/purges/slice_codec.py
@@ -9,7 +9,7 @@
 import msgspec
 import zstandard
 
-from ..errors.wire import NotSlice
+from ..errors.wire import MalformedSlice
 from .retention.archive import SliceKey, SliceState
 from .retention.geometry import LEAST_LOG2_BITS, SEALED_LENGTHS
 
@@ -71,32 +71,32 @@
 
 
 def decode(body: bytes, digest: str) -> SliceState:
-    """The slice of that digest; NotSlice where its bytes are not as encode made them."""
+    """The slice of that digest; MalformedSlice where its bytes are not as encode made them."""
     if digest_of(body) != digest:
-        raise NotSlice(f"{len(body)} bytes that are not those of slice {digest}")
+        raise MalformedSlice(f"{len(body)} bytes that are not those of slice {digest}")
     try:
         if zstandard.frame_content_size(body) > MOST_ENCODED:
-            raise NotSlice(f"slice {digest} is larger than {MOST_ENCODED} bytes")
+            raise MalformedSlice(f"slice {digest} is larger than {MOST_ENCODED} bytes")
         text = zstandard.ZstdDecompressor().decompress(body, max_output_size=MOST_ENCODED)
         found = _decoder.decode(text)
     except (zstandard.ZstdError, msgspec.MsgspecError) as wrong:
-        raise NotSlice(f"slice {digest} cannot be read: {wrong}") from None
+        raise MalformedSlice(f"slice {digest} cannot be read: {wrong}") from None
     if found.version != VERSION:
-        raise NotSlice(f"slice {digest} is of version {found.version}, this program reads {VERSION}")
+        raise MalformedSlice(f"slice {digest} is of version {found.version}, this program reads {VERSION}")
     size = len(found.bits)
     if size & (size - 1) or size < 1 << (LEAST_LOG2_BITS - 3):
-        raise NotSlice(f"slice {digest} has a filter of {size} bytes, no power of two")
+        raise MalformedSlice(f"slice {digest} has a filter of {size} bytes, no power of two")
     if not set(found.lengths) <= set(SEALED_LENGTHS):
-        raise NotSlice(f"slice {digest} has prefixes of lengths that none are sealed under")
+        raise MalformedSlice(f"slice {digest} has prefixes of lengths that none are sealed under")
     key = SliceKey(found.kind, found.span)
     return SliceState(key, found.bound, found.last, found.keys, tuple(found.lengths), found.bits)
 
 
 def decode_row(row: Row, body: bytes) -> SliceState:
-    """The slice that a row stands for; NotSlice where the bytes are another's."""
+    """The slice that a row stands for; MalformedSlice where the bytes are another's."""
     if len(body) != row.size:
-        raise NotSlice(f"{len(body)} bytes of slice {row.digest}, it has {row.size}")
+        raise MalformedSlice(f"{len(body)} bytes of slice {row.digest}, it has {row.size}")
     state = decode(body, row.digest)
     if (state.key.kind, state.key.span, state.bound, state.last) != (row.kind, row.span, row.bound, row.last):
-        raise NotSlice(f"slice {row.digest} is not the one of {row.kind} {row.span} that was told of")
+        raise MalformedSlice(f"slice {row.digest} is not the one of {row.kind} {row.span} that was told of")
     return state
--- a/hookrouter/purges/wire.py
+++ b/hookrouter/purges/wire.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from ..errors.wire import NotPurges as Malformed
+from ..errors.wire import MalformedPurges as Malformed
 from . import types
 from .retention.archive import MOST_SLICES
 from .slice_codec import Row as SliceRow
--- a/hookrouter/site/__init__.py
+++ b/hookrouter/site/__init__.py
@@ -5,7 +5,7 @@
 
 from typing import Any
 
-from ..errors.site import Refused, Wrong
+from ..errors.site import InvalidSiteFile, InvalidValue
 from ..purges import types
 from .file import read, read_text
 from .sections import SECTIONS
@@ -16,9 +16,9 @@
 __all__ = [
     "SECTIONS",
     "VARIABLE",
-    "Refused",
+    "InvalidSiteFile",
     "Secret",
-    "Wrong",
+    "InvalidValue",
     "address",
     "follows",
     "purge_terms",
--- a/hookrouter/site/file.py
+++ b/hookrouter/site/file.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Mapping
 from typing import IO, Any, NamedTuple
 
-from ..errors.site import Refused, Wrong
+from ..errors.site import InvalidSiteFile, InvalidValue
 from .sections import SECTIONS, WANTED, Key, contradictions
 
 Sections = dict[str, dict[str, Any]]  # section -> key -> value, for the sections that are there
@@ -37,9 +37,9 @@
         place = f"[{section}] {key}" if key else f"[{section}]"
         self._found.append(Fault(line, f"{self._name}:{line}: {place}: {what}"))
 
-    def refused(self) -> Refused:
+    def refused(self) -> InvalidSiteFile:
         """All of them as one error, in the order of their lines."""
-        return Refused([fault.text for fault in sorted(self._found)])
+        return InvalidSiteFile([fault.text for fault in sorted(self._found)])
 
 
 def read(name: str, opened: Callable[..., IO[str]] = open) -> Sections:
@@ -48,7 +48,7 @@
         with opened(name, encoding="utf-8") as found:
             text = found.read()
     except (OSError, UnicodeDecodeError) as wrong:
-        raise Refused([f"{name}:1: {getattr(wrong, 'strerror', None) or 'not UTF-8 text'}"]) from None
+        raise InvalidSiteFile([f"{name}:1: {getattr(wrong, 'strerror', None) or 'not UTF-8 text'}"]) from None
     return read_text(name, text)
 
 
@@ -79,7 +79,7 @@
     except configparser.Error as wrong:
         line = getattr(wrong, "lineno", None) or next((n for n, _ in getattr(wrong, "errors", ())), 1)
         said = wrong.message.splitlines()[0].replace(f"'{name}'", "the file")
-        raise Refused([f"{name}:{line}: {said}"]) from None
+        raise InvalidSiteFile([f"{name}:{line}: {said}"]) from None
     return parser
 
 
@@ -93,7 +93,7 @@
     for name, key in known.items():
         try:
             values[name] = read_value(key, given.get(name), folder)
-        except Wrong as wrong:
+        except InvalidValue as wrong:
             faults.add(section, name, str(wrong))
     return values
 
@@ -103,7 +103,7 @@
     if text is not None:
         return key.read(text.strip(), folder)
     if key.default is WANTED:
-        raise Wrong("is missing")
+        raise InvalidValue("is missing")
     return key.default
 
 
--- a/hookrouter/site/values.py
+++ b/hookrouter/site/values.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from ..errors.site import Wrong
+from ..errors.site import InvalidValue
 from ..terms import SECOND, TENTHS
 
 SPANS = {"ms": TENTHS, "s": SECOND, "min": 60 * SECOND, "h": 3_600 * SECOND, "d": 86_400 * SECOND}
@@ -26,10 +26,14 @@
     def read(text: str, folder: str) -> int:
         found = pattern.fullmatch(text)
         if found is None or found[2] not in units:
-            raise Wrong(f"{text!r} has no number and unit; wanted as in {example}, units {', '.join(units)}")
+            raise InvalidValue(
+                f"{text!r} has no number and unit; wanted as in {example}, units {', '.join(units)}"
+            )
         value = round(float(found[1]) * units[found[2]])
         if not least <= value <= most:
-            raise Wrong(f"{text} is out of range; wanted is {shown(least, units)} to {shown(most, units)}")
+            raise InvalidValue(
+                f"{text} is out of range; wanted is {shown(least, units)} to {shown(most, units)}"
+            )
         return value
 
     return read
@@ -53,7 +57,7 @@
 
     def read(text: str, folder: str) -> int:
         if not text.isdecimal() or not least <= int(text) <= most:
-            raise Wrong(f"{text!r}; a whole number from {least} to {most} is wanted")
+            raise InvalidValue(f"{text!r}; a whole number from {least} to {most} is wanted")
         return int(text)
 
     return read
@@ -64,7 +68,7 @@
 
     def read(text: str, folder: str) -> str:
         if text not in words:
-            raise Wrong(f"{text!r}; one of {', '.join(words)} is wanted")
+            raise InvalidValue(f"{text!r}; one of {', '.join(words)} is wanted")
         return text
 
     return read
@@ -74,7 +78,7 @@
     """Reads HOST:PORT."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) < 65_536:
-        raise Wrong(f"{text!r}; an address and a port are wanted, as in 127.0.0.1:9100")
+        raise InvalidValue(f"{text!r}; an address and a port are wanted, as in 127.0.0.1:9100")
     return host, int(port)
 
 
@@ -82,7 +86,7 @@
     """Reads one address, or several different ones separated by commas."""
     found = tuple(address(part.strip(), folder) for part in text.split(","))
     if len(found) > MOST_DESKS or len(set(found)) != len(found):
-        raise Wrong(f"{text!r}; one address is wanted, or up to {MOST_DESKS} different ones")
+        raise InvalidValue(f"{text!r}; one address is wanted, or up to {MOST_DESKS} different ones")
     return found
 
 
@@ -94,7 +98,7 @@
         found[name(who.strip(), folder)] = address(where.strip(), folder)
     different = len(set(found.values())) == len(found) == text.count(",") + 1
     if len(found) not in (3, 5) or not different:
-        raise Wrong(
+        raise InvalidValue(
             "three or five keepers of different names and addresses are wanted, as in "
             "k1 10.0.0.1:9300, k2 10.0.0.2:9300, k3 10.0.0.3:9300"
         )
@@ -104,7 +108,7 @@
 def name(text: str, folder: str) -> str:
     """Reads a name of 1 to 64 characters."""
     if not re.fullmatch(r"[A-Za-z0-9._-]{1,64}", text):
-        raise Wrong(f"{text!r}; 1 to 64 letters, digits, dots, dashes or underscores are wanted")
+        raise InvalidValue(f"{text!r}; 1 to 64 letters, digits, dots, dashes or underscores are wanted")
     return text
 
 
@@ -117,7 +121,7 @@
     """Reads the path of a file that exists."""
     found = path(text, folder)
     if not os.path.isfile(found):
-        raise Wrong(f"{found}: there is no such file")
+        raise InvalidValue(f"{found}: there is no such file")
     return found
 
 
@@ -125,7 +129,7 @@
     """Reads the path of a folder that can be written."""
     found = path(text, folder)
     if not os.path.isdir(found) or not os.access(found, os.W_OK | os.X_OK):
-        raise Wrong(f"{found}: there is no such folder, or it cannot be written")
+        raise InvalidValue(f"{found}: there is no such folder, or it cannot be written")
     return found
 
 
@@ -133,14 +137,14 @@
     """Reads the secret in a file that only its owner may read."""
     found = file(text, folder)
     if stat.S_IMODE(os.stat(found).st_mode) & 0o077:
-        raise Wrong(f"{found}: others may read it; wanted is a file of its owner's only (chmod 600)")
+        raise InvalidValue(f"{found}: others may read it; wanted is a file of its owner's only (chmod 600)")
     try:
         with open(found, "rb") as opened:
             value = opened.read().strip()
     except OSError as wrong:
-        raise Wrong(f"{found}: {wrong.strerror}") from None
+        raise InvalidValue(f"{found}: {wrong.strerror}") from None
     if len(value) < LEAST_SECRET or not value.isascii() or b"\n" in value:
-        raise Wrong(f"{found}: one line of {LEAST_SECRET} characters of ASCII or more is wanted")
+        raise InvalidValue(f"{found}: one line of {LEAST_SECRET} characters of ASCII or more is wanted")
     return Secret(value)
 
 
--- a/hookrouter/stores/__init__.py
+++ b/hookrouter/stores/__init__.py
@@ -1,6 +1,6 @@
 """What outlives a process: stores that survive a kill at any moment and say so when they are damaged."""
 
-from .purge_log import Damaged, PurgeLog
-from .sqlite import Unusable
+from .purge_log import DamagedStore, PurgeLog
+from .sqlite import UnusableStore
 
-__all__ = ["Damaged", "PurgeLog", "Unusable"]
+__all__ = ["DamagedStore", "PurgeLog", "UnusableStore"]
--- a/hookrouter/stores/keeper_log.py
+++ b/hookrouter/stores/keeper_log.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ..decisions.owners.words import Entry, Stored
-from ..errors.stores import Foreign
+from ..errors.stores import ForeignStore
 from ..tables.hash_chain import chained_hash as seal
 from .sqlite import BUSY, create, empty, not_opened, transaction
 
@@ -66,7 +66,7 @@
         run("COMMIT")
         whose = self._fact("keeper")
         if whose != f"{VERSION} {name}".encode():
-            raise Foreign(
+            raise ForeignStore(
                 f"{self.path}: it is the store of {(whose or b'nobody').decode()}, not of {VERSION} {name}"
             )
 
--- a/hookrouter/stores/purge_log.py
+++ b/hookrouter/stores/purge_log.py
@@ -10,7 +10,7 @@
 import struct
 from typing import NamedTuple
 
-from ..errors.stores import Damaged, Foreign
+from ..errors.stores import DamagedStore, ForeignStore
 from ..purges.types import MOST_SEALED, Purge
 from ..tables.hash_chain import INITIAL_HASH
 from . import purge_slices
@@ -64,7 +64,12 @@
         if empty(self.file, self.path, MARK, "this is no store of purges"):
             run("BEGIN EXCLUSIVE")
             create(self.file, SCHEMA + purge_slices.SCHEMA, MARK)
-            for name, value in (("version", VERSION), ("epoch", 0), ("floor", 0), ("floor seal", INITIAL_HASH)):
+            for name, value in (
+                ("version", VERSION),
+                ("epoch", 0),
+                ("floor", 0),
+                ("floor seal", INITIAL_HASH),
+            ):
                 run("INSERT INTO facts VALUES (?, ?)", (name, value))
             self.sealing.create()
             run("COMMIT")
@@ -74,7 +79,9 @@
         if self._fact("version") == FORMER_VERSION:
             self._add_sealed_part()
         if self._fact("version") != VERSION:
-            raise Foreign(f"{self.path}: of version {self._fact('version')}, this program reads {VERSION}")
+            raise ForeignStore(
+                f"{self.path}: of version {self._fact('version')}, this program reads {VERSION}"
+            )
 
     def _add_sealed_part(self):
         with transaction(self.file) as run:
@@ -98,7 +105,7 @@
         try:
             part = self.sealing.read(hold, most_sealed)
         except sqlite3.DatabaseError as wrong:
-            raise Damaged(f"{self.path}: its sealed purges cannot be read: {wrong}") from None
+            raise DamagedStore(f"{self.path}: its sealed purges cannot be read: {wrong}") from None
         rows = list(self._rows(*self._start()))
         return Loaded(
             self._fact("epoch"),
@@ -126,18 +133,18 @@
                     before = self._checked(before, purge, key, told, n)
                     yield purge, key
         except sqlite3.DatabaseError as wrong:
-            raise Damaged(f"{self.path}: purge {n + 1} cannot be read: {wrong}", n + 1) from None
+            raise DamagedStore(f"{self.path}: purge {n + 1} cannot be read: {wrong}", n + 1) from None
         self.last = before
 
     def _checked(self, before, purge, key, told, n):
         if purge.n != n:
-            raise Damaged(f"{self.path}: purge {n} is missing, {purge.n} follows", n)
+            raise DamagedStore(f"{self.path}: purge {n} is missing, {purge.n} follows", n)
         try:
             whole = seal(before, purge, key) == told
         except (struct.error, AttributeError, TypeError):
             whole = False
         if not whole:
-            raise Damaged(f"{self.path}: purge {n} is not as it was written", n)
+            raise DamagedStore(f"{self.path}: purge {n} is not as it was written", n)
         return told
 
     def verify(self):
@@ -154,11 +161,11 @@
         try:
             for _ in self._rows(self._fact("floor"), self._fact("floor seal")):
                 sound += 1
-        except Damaged as error:
+        except DamagedStore as error:
             wrong.append(str(error))
         try:
             self.sealing.read(DEFAULT_HOLD, MOST_SEALED)
-        except (Damaged, sqlite3.DatabaseError) as error:
+        except (DamagedStore, sqlite3.DatabaseError) as error:
             wrong.append(str(error))
         return sound, wrong
 
--- a/hookrouter/stores/purge_slices.py
+++ b/hookrouter/stores/purge_slices.py
@@ -12,8 +12,8 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-from ..errors.stores import Damaged
-from ..errors.wire import NotSlice
+from ..errors.stores import DamagedStore
+from ..errors.wire import MalformedSlice
 from ..purges import slice_codec
 from ..purges.retention.archive import Archive, SliceKey, SliceState
 from ..purges.tail import MOST_FIRSTS
@@ -70,7 +70,7 @@
         """All of it; Damaged names what is not as it was written. hold, most_sealed: as in PurgeTerms."""
         n, _ = self.reached()
         if self._digest() != self._fact(SEALED_DIGEST):
-            raise Damaged(f"{self._path}: its sealed purges, up to {n}, are not as they were written")
+            raise DamagedStore(f"{self._path}: its sealed purges, up to {n}, are not as they were written")
         archive = Archive(hold, most_sealed)
         for digest, body in self._file.execute("SELECT digest, body FROM slices ORDER BY span, kind"):
             archive.merge(self._decoded(digest, body))
@@ -121,8 +121,8 @@
     def _decoded(self, digest: str, body: bytes) -> SliceState:
         try:
             return slice_codec.decode(body, digest)
-        except NotSlice as wrong:
-            raise Damaged(f"{self._path}: a slice of sealed purges is damaged: {wrong}") from None
+        except MalformedSlice as wrong:
+            raise DamagedStore(f"{self._path}: a slice of sealed purges is damaged: {wrong}") from None
 
     def _write(self, encoded: slice_codec.Encoded) -> None:
         row = encoded.row
--- a/hookrouter/stores/purge_steps.py
+++ b/hookrouter/stores/purge_steps.py
@@ -2,7 +2,7 @@
 
 import sqlite3
 
-from ..errors.stores import Differs
+from ..errors.stores import CopyDiffers
 from ..purges.types import Purge
 from ..tables.hash_chain import chained_hash
 from .purge_rows import pack, unpack
@@ -33,12 +33,12 @@
     def _step_keep(self, first, bodies):
         newest, before, _, _ = self.position()
         if first != newest + 1:
-            raise Differs(f"{first} came after {newest}")
+            raise CopyDiffers(f"{first} came after {newest}")
         rows = []
         for n, body in enumerate(bodies, first):
             purge, key = unpack(body)
             if purge.n != n:
-                raise Differs(f"{purge.n} came as {n}")
+                raise CopyDiffers(f"{purge.n} came as {n}")
             before = chained_hash(before, body)
             rows.append((*purge, key, before))
         self.file.executemany(INSERT, rows)
@@ -63,7 +63,7 @@
 
     def _step_verify(self, n, told):
         if self._seal_at(n) not in (None, told):
-            raise Differs(f"its seal at {n} is another")
+            raise CopyDiffers(f"its seal at {n} is another")
 
     def _seal_at(self, n):
         """None where it is folded away, or not there."""
@@ -78,7 +78,7 @@
                 "SELECT epoch, n, made, sort, what, key FROM purges WHERE n = ?", (n,)
             ).fetchone()
             if row is not None and pack(Purge(*row[:5]), row[5]) != body:
-                raise Differs(f"purge {n} is another")
+                raise CopyDiffers(f"purge {n} is another")
 
     def part(self, after, told, most):
         """(start, its seal, bodies behind it, whether that seal is this store's, too): most bytes of them."""
--- a/hookrouter/stores/sqlite.py
+++ b/hookrouter/stores/sqlite.py
@@ -4,7 +4,7 @@
 import sqlite3
 from contextlib import contextmanager
 
-from ..errors.stores import Damaged, Foreign, Held, Unusable
+from ..errors.stores import DamagedStore, ForeignStore, LockedStore, UnusableStore
 
 BUSY = 0.2  # seconds for another process to let go: one that ends closes its store at once
 
@@ -16,7 +16,7 @@
     found = run("PRAGMA application_id").fetchone()[0]
     tables = run("SELECT count(*) FROM sqlite_master").fetchone()[0]
     if found != mark and tables:
-        raise Foreign(f"{path}: {other}")
+        raise ForeignStore(f"{path}: {other}")
     run("PRAGMA journal_mode = WAL")
     run("PRAGMA synchronous = FULL")
     return not tables
@@ -25,12 +25,12 @@
 def not_opened(path, wrong, who):
     """What to raise for SQLite's error at opening. who: a keeper, a desk."""
     if os.path.isdir(path):
-        return Unusable(f"{path}: it is a folder (unable to open database file)")
+        return UnusableStore(f"{path}: it is a folder (unable to open database file)")
     if isinstance(wrong, sqlite3.OperationalError):
         if "locked" in str(wrong):
-            return Held(f"{path}: another process holds it; {who} may be running on it")
-        return Unusable(f"{path}: {wrong}")
-    return Damaged(f"{path}: {wrong}")
+            return LockedStore(f"{path}: another process holds it; {who} may be running on it")
+        return UnusableStore(f"{path}: {wrong}")
+    return DamagedStore(f"{path}: {wrong}")
 
 
 def create(file, schema, mark):
@@ -43,7 +43,7 @@
     """The value that a store of purges keeps under that name; Damaged where it has none."""
     row = file.execute("SELECT value FROM facts WHERE name = ?", (name,)).fetchone()
     if row is None:
-        raise Damaged(f"{path}: its {name} is missing")
+        raise DamagedStore(f"{path}: its {name} is missing")
     return row[0]
 
 
--- a/hookrouter/stores/trace_log.py
+++ b/hookrouter/stores/trace_log.py
@@ -10,7 +10,7 @@
 
 import zstandard
 
-from ..errors.stores import TornTrace
+from ..errors.stores import TruncatedTrace
 
 SEGMENTS = 8  # kept of one router: removing one loses an eighth
 PIECE = 1 << 16  # bytes read at once
@@ -61,7 +61,7 @@
 
 
 def lines(path):
-    """Each whole line of a segment; TornTrace at its end where it is torn or damaged, with what is wrong."""
+    """Each whole line of a segment; TruncatedTrace at its end where it is torn or damaged, with what is wrong."""
     rest = b""
     with open(path, "rb") as file:
         reader = zstandard.ZstdDecompressor().stream_reader(file, read_across_frames=True)
@@ -70,8 +70,8 @@
                 *whole, rest = (rest + piece).split(b"\n")
                 yield from whole
                 if len(rest) > MOST_LINE:
-                    raise TornTrace(f"{path}: a line without an end")
+                    raise TruncatedTrace(f"{path}: a line without an end")
         except zstandard.ZstdError as wrong:
-            raise TornTrace(f"{path}: damaged from here on: {wrong}") from None
+            raise TruncatedTrace(f"{path}: damaged from here on: {wrong}") from None
     if rest:
-        raise TornTrace(f"{path}: its last block was cut off")
+        raise TruncatedTrace(f"{path}: its last block was cut off")
--- a/hookrouter/trace/__init__.py
+++ b/hookrouter/trace/__init__.py
@@ -2,6 +2,6 @@
 
 from .account import Account
 from .replay import Replay
-from .rows import Header, Recorder, Row, Unreadable, read_header, read_row
+from .rows import Header, Recorder, Row, UnreadableTrace, read_header, read_row
 
-__all__ = ["Account", "Header", "Recorder", "Replay", "Row", "Unreadable", "read_header", "read_row"]
+__all__ = ["Account", "Header", "Recorder", "Replay", "Row", "UnreadableTrace", "read_header", "read_row"]
--- a/hookrouter/trace/rows.py
+++ b/hookrouter/trace/rows.py
@@ -12,7 +12,7 @@
 
 from .. import __version__
 from .. import interface
-from ..errors.stores import Unreadable
+from ..errors.stores import UnreadableTrace
 from ..terms import SECOND
 
 SENDS = (interface.Ask, interface.Obtain)
@@ -102,13 +102,13 @@
     try:
         return decode_header(line)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as wrong:
-        raise Unreadable(f"no header of a trace: {wrong}") from None
+        raise UnreadableTrace(f"no header of a trace: {wrong}") from None
 
 
 def read_row(line):
     if len(line) > MOST_LINE:
-        raise Unreadable(f"a line of {len(line)} bytes")
+        raise UnreadableTrace(f"a line of {len(line)} bytes")
     try:
         return Row(*decode_row(line))
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as wrong:
-        raise Unreadable(str(wrong)) from None
+        raise UnreadableTrace(str(wrong)) from None
--- a/standins/hollow/__main__.py
+++ b/standins/hollow/__main__.py
@@ -10,8 +10,8 @@
 from twisted.internet.error import CannotListenError
 
 from hookrouter.command import DONE, ended_by, run_until, tell_uncaught
-from hookrouter.errors import Trouble
-from hookrouter.errors.listening import Taken
+from hookrouter.errors import HookrouterError
+from hookrouter.errors.listening import ListenRefused
 from hookrouter.log import Log
 
 from .configuration import Configuration, read_configuration, read_sections
@@ -24,12 +24,12 @@
 SPARE_DESCRIPTORS = 64  # of the process
 
 
-class TooFewDescriptors(Trouble):
+class TooFewDescriptors(HookrouterError):
     """The process may not open as many files as its routers need."""
 
     code = "hollow-descriptors"
     advice = "put fewer routers into one process, or raise the hard limit of open files; nothing was started"
-    exit = 2
+    exit_code = 2
 
 
 def raise_descriptors(routers: int) -> None:
@@ -69,7 +69,7 @@
         self.reporter = Reporter(
             reactor, configuration.report_every_s, lambda: [one.report() for one in self.routers], sys.stdout
         )
-        self.failure: Taken | None = None
+        self.failure: ListenRefused | None = None
 
     def start(self) -> None:
         """One router after the other, so that their timers are spread."""
@@ -83,7 +83,7 @@
         try:
             router.start()
         except CannotListenError as wrong:
-            self.failure = Taken(f"{router.name} cannot listen: {wrong}")
+            self.failure = ListenRefused(f"{router.name} cannot listen: {wrong}")
             self.stop()
 
     def stop(self) -> None:
@@ -104,7 +104,7 @@
 
 
 def run(path: str) -> None:
-    """Until SIGTERM; Trouble where it cannot start."""
+    """Until SIGTERM; HookrouterError where it cannot start."""
     configuration = read_configuration(path)
     raise_descriptors(len(configuration.routers))
     log = Log()
@@ -127,7 +127,7 @@
         return 2
     try:
         run(words[0])
-    except Trouble as wrong:
+    except HookrouterError as wrong:
         return ended_by(wrong)
     return DONE
 
--- a/standins/hollow/configuration.py
+++ b/standins/hollow/configuration.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from hookrouter.errors import Trouble
-from hookrouter.errors.site import Refused
+from hookrouter.errors import HookrouterError
+from hookrouter.errors.site import InvalidSiteFile
 from hookrouter.site import read as read_site
 
 NEEDS_LOOKUPS = ("spread", "warming")  # sections whose parts decide by a router's own lookups
@@ -15,12 +15,12 @@
 Sections = dict[str, dict[str, Any]]  # of an operator's file, as hookrouter.site reads it
 
 
-class ConfigurationRefused(Trouble):
+class ConfigurationRefused(HookrouterError):
     """CONFIG.json, or an operator's file that it names, cannot be used; the text names the key."""
 
     code = "hollow-configuration"
     advice = "correct what is named in CONFIG.json or in that operator's file; nothing was started"
-    exit = 2
+    exit_code = 2
 
 
 class RouterPlace(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -62,7 +62,7 @@
     """The operator's file of one hollow router; ConfigurationRefused where a hollow one cannot run by it."""
     try:
         sections = read_site(router.site)
-    except Refused as wrong:
+    except InvalidSiteFile as wrong:
         raise ConfigurationRefused(f"router {router.name}: {'; '.join(wrong.lines)}") from None
     where = f"router {router.name}: {router.site}"
     if "fleet" not in sections:
--- a/standins/hollow/counted.py
+++ b/standins/hollow/counted.py
@@ -18,7 +18,7 @@
 
 from hookrouter.command import ended_by  # noqa: E402
 from hookrouter.command import main as run  # noqa: E402
-from hookrouter.errors import Trouble  # noqa: E402
+from hookrouter.errors import HookrouterError  # noqa: E402
 from hookrouter.site import read  # noqa: E402
 
 from .report import RouterReport, Traffic  # noqa: E402
@@ -44,7 +44,7 @@
     reports, every, *command = words
     try:
         count_real_router(reactor, reports, float(every), command[command.index("--site") + 1])
-    except Trouble as wrong:
+    except HookrouterError as wrong:
         return ended_by(wrong)
     return run(command, signals)
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -14,8 +14,8 @@
 from benchmarks.admission.schedule import play
 from hookrouter.decisions.admission import Comer, tickets
 from hookrouter.decisions.admission import comer as c
-from hookrouter.errors.wire import Unsealed
-from hookrouter.site import Refused, read_text
+from hookrouter.errors.wire import InvalidTicket
+from hookrouter.site import InvalidSiteFile, read_text
 
 
 def test_each_scene_holds():
@@ -48,7 +48,7 @@
 def test_a_ticket_changed_in_any_bit_is_not_one(at, bit):
     data = bytearray.fromhex(tickets.write(KEY, tickets.Ticket("g", 1, 2, 3, "r1")))
     data[at % len(data)] ^= 1 << bit
-    with pytest.raises(Unsealed):
+    with pytest.raises(InvalidTicket):
         tickets.read(KEY, data.hex(), "r1")
 
 
@@ -66,9 +66,9 @@
 
 
 def test_the_section_is_refused_without_purges_and_nothing_is_loaded_without_it():
-    with pytest.raises(Refused, match=r"1: \[admission\]: \[purges\] is missing"):
+    with pytest.raises(InvalidSiteFile, match=r"1: \[admission\]: \[purges\] is missing"):
         read_text("f.ini", "[admission]\n")
-    with pytest.raises(Refused, match="share: 5 % is out of range"):
+    with pytest.raises(InvalidSiteFile, match="share: 5 % is out of range"):
         read_text("f.ini", "[admission]\nshare = 5 %\n")
     code = (
         "import sys, hookrouter.desk.desk, hookrouter.desk.relay, hookrouter.desk.web, "
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -13,7 +13,7 @@
 from hookrouter import errors
 from hookrouter.__main__ import main
 from hookrouter.command.purges import calls
-from hookrouter.stores import Damaged, PurgeLog, Unusable
+from hookrouter.stores import DamagedStore, PurgeLog, UnusableStore
 from hookrouter.stores.keeper_log import KeeperLog
 from hookrouter.terms import Malformed
 
@@ -23,14 +23,14 @@
 def test_the_page_lists_every_code_with_its_exit_and_advice():
     rows = re.findall(r"^\| `([a-z-]+)` \| [^|]+ \| (\d) \| (.+) \|$", PAGE.read_text(), re.M)
     assert {code: (int(end), advice) for code, end, advice in rows} == {
-        code: (kind.exit, kind.advice) for code, kind in errors.every().items()
+        code: (kind.exit_code, kind.advice) for code, kind in errors.errors_by_code().items()
     }
-    assert len(rows) == len(errors.every()) and all(
+    assert len(rows) == len(errors.errors_by_code()) and all(
         re.fullmatch("[a-z]+(-[a-z]+)*", code) for code, *_ in rows
     )
     assert all(
         kind.__doc__ and "\n" not in kind.advice and len(kind.advice) < 140
-        for kind in errors.every().values()
+        for kind in errors.errors_by_code().values()
     )
 
 
@@ -41,7 +41,7 @@
     from hookrouter.fleet.wire import wire as member_wire
     from hookrouter.parsers import http1, sse, thrift
     from hookrouter.purges import wire
-    from hookrouter.trace import Unreadable
+    from hookrouter.trace import UnreadableTrace
 
     was_value_errors = (
         Malformed,
@@ -51,17 +51,19 @@
         thrift.Malformed,
         wire.Malformed,
         member_wire.Malformed,
-        Unreadable,
-        site.Wrong,
+        UnreadableTrace,
+        site.InvalidValue,
+    )
+    assert all(
+        issubclass(kind, ValueError) and issubclass(kind, errors.HookrouterError) for kind in was_value_errors
     )
-    assert all(issubclass(kind, ValueError) and issubclass(kind, errors.Trouble) for kind in was_value_errors)
     assert len({thrift.Malformed, http1.Malformed, sse.Malformed, wire.Malformed, Malformed}) == 5
     assert (
-        issubclass(Damaged, Unusable)
-        and issubclass(asker.Lost, errors.Trouble)
-        and site.Refused(["a:1: b"]).lines == ["a:1: b"]
+        issubclass(DamagedStore, UnusableStore)
+        and issubclass(asker.DutyLost, errors.HookrouterError)
+        and site.InvalidSiteFile(["a:1: b"]).lines == ["a:1: b"]
     )
-    assert not issubclass(Unusable, ValueError) and str(Malformed("x")) == "x"
+    assert not issubclass(UnusableStore, ValueError) and str(Malformed("x")) == "x"
 
 
 class Place:
@@ -164,10 +166,12 @@
         given.remove(word)
     exit, said = main(given), capsys.readouterr().err
     assert exit == (
-        1 if code == "trace-torn" or given[:2] == ["trace", "account"] else errors.every()[code].exit
+        1
+        if code == "trace-torn" or given[:2] == ["trace", "account"]
+        else errors.errors_by_code()[code].exit_code
     )
     assert (
-        f"; do: {errors.every()[code].advice} ({code})\n" in said.replace("\ndo: ", "; do: ")
+        f"; do: {errors.errors_by_code()[code].advice} ({code})\n" in said.replace("\ndo: ", "; do: ")
         and "Traceback" not in said
     )
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -17,7 +17,7 @@
 
 from hookrouter.decisions.owners import Keeper, Terms
 from hookrouter.decisions.owners import words as w
-from hookrouter.stores import Unusable
+from hookrouter.stores import UnusableStore
 from hookrouter.stores.keeper_log import KeeperLog
 from standins.ports import free_port
 from standins.rig import Rig, holder
@@ -289,7 +289,7 @@
     assert found.base == 3 and found.snapshot == (4, 1, ("a", "b"), ("c",), b"x")
     assert [e.term for e in found.entries] == [1, 2]
     log.close()
-    with pytest.raises(Unusable, match="is the store of"):
+    with pytest.raises(UnusableStore, match="is the store of"):
         KeeperLog(tmp_path / "a.db", "b")
 
 
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -207,7 +207,7 @@
     path.write_text(text)
     with pytest.raises(ConfigurationRefused) as wrong:
         read_configuration(path)
-    assert said in wrong.value.told() and "correct what is named" in wrong.value.told()
+    assert said in wrong.value.user_message() and "correct what is named" in wrong.value.user_message()
 
 
 def test_an_operators_file_by_which_no_hollow_router_can_run_is_refused(tmp_path):
@@ -225,7 +225,9 @@
         path.write_text(text)
         with pytest.raises(ConfigurationRefused) as wrong:
             read_sections(place)
-        assert said in wrong.value.told() and "nothing was started" in wrong.value.told(), wrong.value.told()
+        assert (
+            said in wrong.value.user_message() and "nothing was started" in wrong.value.user_message()
+        ), wrong.value.user_message()
     path.unlink()
     with pytest.raises(ConfigurationRefused, match="h0.ini"):
         read_sections(place)
--- a/tests/test_purge_slices.py
+++ b/tests/test_purge_slices.py
@@ -12,7 +12,7 @@
 from hookrouter.desk.local_store import replayed
 from hookrouter.purges import Guard, Position, Purge, PurgeTerms, slice_codec, types
 from hookrouter.purges.tail import Tail
-from hookrouter.stores import Damaged, PurgeLog, Unusable
+from hookrouter.stores import DamagedStore, PurgeLog, UnusableStore
 from hookrouter.stores.purge_slices import Terms
 
 HOLD, SEALED, KEEP = 24_000, 2_000, 50
@@ -196,7 +196,7 @@
     log.file.execute(wrong)
     log.close()
     log = PurgeLog(path, must_exist=True)
-    with pytest.raises(Damaged, match=said):
+    with pytest.raises(DamagedStore, match=said):
         log.load(HOLD, SEALED)
     assert any(said in line for line in log.verify()[1])
     log.close()
@@ -206,7 +206,7 @@
     log = opened(tmp_path / "s.db", mixed(1, 1_000))
     assert log.seal_some(TERMS, 100) == 100
     log.file.execute("UPDATE purges SET what = 'other' WHERE n = 150")
-    with pytest.raises(Damaged, match="purge 150 is not as it was written"):
+    with pytest.raises(DamagedStore, match="purge 150 is not as it was written"):
         log.seal_some(TERMS, 100)
     assert log.sealing.reached()[0] == 100
     log.close()
@@ -242,7 +242,7 @@
     assert log.load(HOLD, SEALED).sealed.n == 250
     log.file.execute("UPDATE facts SET value = 3 WHERE name = 'version'")
     log.close()
-    with pytest.raises(Unusable, match="of version 3, this program reads 2"):
+    with pytest.raises(UnusableStore, match="of version 3, this program reads 2"):
         PurgeLog(path, must_exist=True)
 
 
--- a/tests/test_purge_store.py
+++ b/tests/test_purge_store.py
@@ -8,8 +8,8 @@
 import pytest
 
 from hookrouter.purges import Purge, types
-from hookrouter.site import Refused, Secret, read, read_text
-from hookrouter.stores import Damaged, PurgeLog, Unusable
+from hookrouter.site import InvalidSiteFile, Secret, read, read_text
+from hookrouter.stores import DamagedStore, PurgeLog, UnusableStore
 
 
 def batch(first, last, epoch=1):
@@ -129,7 +129,7 @@
     log.file.execute(wrong)
     log.close()
     log = PurgeLog(path)
-    with pytest.raises(Damaged, match=said) as found:
+    with pytest.raises(DamagedStore, match=said) as found:
         log.load()
     assert found.value.n == n
     assert any(said in line for line in log.verify()[1])
@@ -154,7 +154,7 @@
             log = PurgeLog(path, must_exist=True)
             sound = log.load().rows == batch(1, 3_000)
             log.close()
-        except Unusable:
+        except UnusableStore:
             sound = False
         wrong += not sound
         if sound:  # then the page holds nothing of the order, or nothing in that place
@@ -165,18 +165,18 @@
 def test_one_process_at_a_time_and_only_a_store(tmp_path):
     path = tmp_path / "s.db"
     log = filled(path, 1)
-    with pytest.raises(Unusable, match="another process holds it"):
+    with pytest.raises(UnusableStore, match="another process holds it"):
         PurgeLog(path)
     log.close()
     (tmp_path / "text").write_text("not a store, but a text of some length")
-    with pytest.raises(Unusable, match="not a database"):
+    with pytest.raises(UnusableStore, match="not a database"):
         PurgeLog(tmp_path / "text")
     other = sqlite3.connect(tmp_path / "other")
     other.execute("CREATE TABLE t (x)")
     other.close()
-    with pytest.raises(Unusable, match="no store of purges"):
+    with pytest.raises(UnusableStore, match="no store of purges"):
         PurgeLog(tmp_path / "other")
-    with pytest.raises(Unusable, match="unable to open"):
+    with pytest.raises(UnusableStore, match="unable to open"):
         PurgeLog(tmp_path / "none", must_exist=True)
 
 
@@ -193,7 +193,7 @@
 
 
 def faults(folder, text):
-    with pytest.raises(Refused) as refused:
+    with pytest.raises(InvalidSiteFile) as refused:
         read_text(str(folder / "site.ini"), text)
     return [line.split("site.ini:")[1] for line in refused.value.lines]
 
@@ -245,7 +245,7 @@
     assert purges["secret"] == Secret(b"0123456789abcdef") != Secret(b"0123456789abcdeg")
     assert "0123456789" not in repr(sections) and list(sections) == ["purges"]
     secret_file(tmp_path, text="short")
-    with pytest.raises(Refused, match="16 characters"):
+    with pytest.raises(InvalidSiteFile, match="16 characters"):
         read(str(tmp_path / "site.ini"))
-    with pytest.raises(Refused, match="No such file"):
+    with pytest.raises(InvalidSiteFile, match="No such file"):
         read(str(tmp_path / "none.ini"))
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -13,7 +13,7 @@
 
 from benchmarks.replicas.world import CopyWorld, broken_by, standing
 from hookrouter.decisions.owners.duties import INITIAL_HASH, KEEP, Duties, chained_hash
-from hookrouter.errors.stores import Differs
+from hookrouter.errors.stores import CopyDiffers
 from hookrouter.purges import Purge
 from hookrouter.stores import PurgeLog
 from hookrouter.stores.purge_rows import pack, unpack
@@ -93,7 +93,7 @@
         ((KEEP, 7, [body(7)]),),
         (("compare", 3, [body(3, "other")]),),
     ):
-        with pytest.raises(Differs):
+        with pytest.raises(CopyDiffers):
             log.file_steps(steps, 10)
         assert log.position() == (newest, seal, floor, index)
     log.file_steps((("verify", 5, seal), ("compare", 2, bodies[1:]), ("sweep", 2)), 11)
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -30,7 +30,7 @@
 from hookrouter.decisions.sharing.pulls import PIECE, Lender, Puller  # noqa: E402
 from hookrouter.node.tally import Tally  # noqa: E402
 from hookrouter.node.told import Told  # noqa: E402
-from hookrouter.site import Refused, read_text  # noqa: E402
+from hookrouter.site import InvalidSiteFile, read_text  # noqa: E402
 from standins.ports import free_port
 from standins.rig import Rig  # noqa: E402
 
@@ -249,7 +249,7 @@
     ),
 )
 def test_the_section_is_refused_without_a_fleet(text, wrong):
-    with pytest.raises(Refused, match="sharing") as refused:
+    with pytest.raises(InvalidSiteFile, match="sharing") as refused:
         read_text("site.ini", text)
     assert any(wrong in line for line in refused.value.lines)
 
--- a/tests/test_slices.py
+++ b/tests/test_slices.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from benchmarks.purges.shapes import HOLD, LEASE, SEALED, SKEW
-from hookrouter.errors.wire import NotSlice
+from hookrouter.errors.wire import MalformedSlice
 from hookrouter.purges import Guard, Purge, PurgeTerms, slice_codec, types
 from hookrouter.purges.catalogue import Catalogue
 from hookrouter.purges.retention import BitSlicedBloom, BloomFilter
@@ -104,14 +104,14 @@
     for _ in range(200):
         spoilt = bytearray(body)
         spoilt[dice.randrange(len(body))] ^= 1 << dice.randrange(8)
-        with pytest.raises(NotSlice):
+        with pytest.raises(MalformedSlice):
             slice_codec.decode_row(row, bytes(spoilt))
     for wrong in (body[:-1], body + b"x", b""):
-        with pytest.raises(NotSlice, match="bytes of slice"):
+        with pytest.raises(MalformedSlice, match="bytes of slice"):
             slice_codec.decode_row(row, wrong)
     for field in ({"span": 4}, {"bound": row.bound + 1}, {"last": 1}, {"kind": "tag"}):
         other = slice_codec.Row(**{name: getattr(row, name) for name in row.__struct_fields__} | field)
-        with pytest.raises(NotSlice, match="not the one"):
+        with pytest.raises(MalformedSlice, match="not the one"):
             slice_codec.decode_row(other, body)
 
 
@@ -139,7 +139,7 @@
     ],
 )
 def test_a_slice_that_no_desk_of_this_version_makes_is_refused(fields, said):
-    with pytest.raises(NotSlice, match=said):
+    with pytest.raises(MalformedSlice, match=said):
         slice_codec.decode(*sealed_as(**fields))
 
 
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -9,7 +9,7 @@
 from hookrouter.control import Control
 from hookrouter.decisions.spread import Spread, spread_terms
 from hookrouter.decisions.spread.words import Ask, Cede, Started, Word
-from hookrouter.site import Refused, read_text
+from hookrouter.site import InvalidSiteFile, read_text
 
 NOW = 1_000_000
 
@@ -116,7 +116,7 @@
 
 
 def test_the_section_needs_sharing():
-    with pytest.raises(Refused, match=r"\[spread\]: \[sharing\] is missing"):
+    with pytest.raises(InvalidSiteFile, match=r"\[spread\]: \[sharing\] is missing"):
         read_text("x.ini", "[spread]\nlease = 2 s\n")
 
 
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -15,7 +15,7 @@
 from hookrouter.control import Control
 from hookrouter.node.tracing import BLOCK
 from hookrouter.stores.trace_log import SEGMENTS, TraceLog, lines, segments
-from hookrouter.trace import Account, Replay, Row, Unreadable, read_header, read_row
+from hookrouter.trace import Account, Replay, Row, UnreadableTrace, read_header, read_row
 from hookrouter.trace.rows import MOST_LINE, Header, KindRow, belief
 
 
@@ -120,7 +120,7 @@
 )
 def test_lines_that_are_none_are_refused(line):
     for reader in (read_row, read_header):
-        with pytest.raises(Unreadable):
+        with pytest.raises(UnreadableTrace):
             reader(line)
 
 
--- a/tests/test_warming.py
+++ b/tests/test_warming.py
@@ -24,7 +24,7 @@
 from hookrouter.decisions.warming.pace import Cold
 from hookrouter.decisions.warming.plan import STEP, Kind, gains
 from hookrouter.decisions.warming.rank import hashed, rank
-from hookrouter.errors.wire import Unfit
+from hookrouter.errors.wire import UnusableList
 from hookrouter.purges.types import Purge
 
 NAMES = [("page", f"o{n}", 0) for n in range(40)]
@@ -113,11 +113,11 @@
     "wrong", [lent(row(1, 5), row(1, 5)), lent(row(1, 5), total=4), lent(age=lists.OLDEST + 1)]
 )
 def test_a_list_that_contradicts_itself_is_put_aside(wrong):
-    with pytest.raises(Unfit):
+    with pytest.raises(UnusableList):
         lists.read(msgspec.msgpack.encode(wrong))
-    with pytest.raises(Unfit):
+    with pytest.raises(UnusableList):
         lists.read(b"\xc1" * 50)
-    with pytest.raises(Unfit):
+    with pytest.raises(UnusableList):
         lists.read(b"\x90" * (lists.MOST_BYTES + 1))
 
 
@@ -212,10 +212,10 @@
 
 
 def test_the_section_wants_sharing_beside_it():
-    from hookrouter.errors.site import Refused
+    from hookrouter.errors.site import InvalidSiteFile
     from hookrouter.site import read_text
 
-    with pytest.raises(Refused, match=r"x:1: \[warming\]: \[fleet\] and \[sharing\] are missing"):
+    with pytest.raises(InvalidSiteFile, match=r"x:1: \[warming\]: \[fleet\] and \[sharing\] are missing"):
         read_text("x", "[warming]\nslots = 4\n")
-    with pytest.raises(Refused, match="slots"):
+    with pytest.raises(InvalidSiteFile, match="slots"):
         read_text("x", "[warming]\nslots = 0\n")
