--- a/hookrouter/adapter/host.py
+++ b/hookrouter/adapter/host.py
@@ -17,15 +17,15 @@
 
     def reply(self, batch):
         """The answer to one batch; raises Malformed where the batch itself cannot be read."""
-        batch = terms.named(batch, "batch")
-        now = terms.down(batch.get("t"), "batch.t")
-        turn = terms.whole(batch.get("turn"), "batch.turn")
+        batch = terms.read_object(batch, "batch")
+        now = terms.floor_units(batch.get("t"), "batch.t")
+        turn = terms.read_integer(batch.get("turn"), "batch.turn")
         answers = []
-        for group in terms.listed(batch.get("groups"), "batch.groups"):
-            group = terms.named(group, "batch.groups")
-            router = terms.whole(group.get("router"), "groups.router")
+        for group in terms.read_array(batch.get("groups"), "batch.groups"):
+            group = terms.read_object(group, "batch.groups")
+            router = terms.read_integer(group.get("router"), "groups.router")
             try:
-                cmds = self.run(router, now, terms.listed(group.get("inbox"), "groups.inbox"))
+                cmds = self.run(router, now, terms.read_array(group.get("inbox"), "groups.inbox"))
             except Malformed as wrong:
                 cmds = self.fault(router, f"malformed: {wrong}")
             except Exception as wrong:  # the decision code failed: say so, and keep the other routers going
@@ -42,7 +42,7 @@
     def run(self, router, now, inbox):
         effects, inputs = [], []
         for event in inbox:
-            name = terms.listed(event, "inbox")[0] if event else None
+            name = terms.read_array(event, "inbox")[0] if event else None
             if name == "defineList":
                 self.define(event)
             elif name == "down":
@@ -50,7 +50,7 @@
                 effects, inputs = [], []
             elif name == "configure":
                 seed, conf = (event + [None, None])[1:3]
-                seed = terms.whole(seed, "configure.randomSeed")
+                seed = terms.read_integer(seed, "configure.randomSeed")
                 self.routers[router] = Control(seed, terms.read_terms(conf))
                 effects, inputs = [], []
             else:
@@ -63,7 +63,7 @@
 
     def define(self, event):
         table, rows = (event + [None, None])[1:3]
-        self.lists[terms.whole(table, "defineList.table")] = codec.read_list(rows)
+        self.lists[terms.read_integer(table, "defineList.table")] = codec.read_list(rows)
 
 
 def serve(lines, out, errors):
--- a/hookrouter/caches/errands.py
+++ b/hookrouter/caches/errands.py
@@ -5,7 +5,7 @@
 
 from .. import interface
 from ..parsers import http1
-from ..terms import TENTHS
+from ..terms import UNITS_PER_MS
 
 MOST_DIGITS = 15  # of a time in milliseconds: years have 13
 LONGEST_BODY = 240_000  # bytes, of any object's part
@@ -58,7 +58,7 @@
 
 def millis(tenths):
     """Whole milliseconds, down; what is left of one is one, for none means without limit."""
-    return b"%d" % max(1, tenths // TENTHS)
+    return b"%d" % max(1, tenths // UNITS_PER_MS)
 
 
 def request(errand, host):
@@ -126,7 +126,7 @@
 def read_since(answer):
     """X-Since-Ms, Unix milliseconds, in tenths; None where it is not told."""
     since = answer.fields.get(b"x-since-ms", b"")
-    return int(since) * TENTHS if since.isdigit() and len(since) <= MOST_DIGITS else None
+    return int(since) * UNITS_PER_MS if since.isdigit() and len(since) <= MOST_DIGITS else None
 
 
 def read_report(text, names):
--- a/hookrouter/control/copies.py
+++ b/hookrouter/control/copies.py
@@ -29,7 +29,7 @@
         if made < self.purges.guarded(lk) or now - made > (kind.fresh_duration or now) or late:
             return False
         self.free = free
-        self.kept.used(lk.copy_key)
+        self.kept.mark_used(lk.copy_key)
         self.b.emit(interface.Give(lk.id))
         return True
 
--- a/hookrouter/feed/events.py
+++ b/hookrouter/feed/events.py
@@ -25,47 +25,47 @@
 
 
 def read_address(value, what):
-    host, _, port = terms.text(value, what).rpartition(":")
+    host, _, port = terms.read_text(value, what).rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) < 65536:
-        raise Malformed(f"{what}: an address and a port are wanted, not {terms.shown(value)}")
+        raise Malformed(f"{what}: an address and a port are wanted, not {terms.excerpt(value)}")
     return host, int(port)
 
 
 def read_cache(row):
-    row = terms.Stated(row, "endpoints")
+    row = terms.SettingsReader(row, "endpoints")
     cache = interface.Cache(
-        id=row.get("name", terms.text),
-        zone=row.get("zone", terms.text),
-        cell=row.get("group", terms.whole),
-        weight=row.get("weight", terms.number),
-        born=row.get("since_ms", terms.up),
-        phase=row.get("status", terms.word, PHASES),
-        machine_type=row.get("type", terms.text),
+        id=row.get("name", terms.read_text),
+        zone=row.get("zone", terms.read_text),
+        cell=row.get("group", terms.read_integer),
+        weight=row.get("weight", terms.read_number),
+        born=row.get("since_ms", terms.ceil_units),
+        phase=row.get("status", terms.read_choice, PHASES),
+        machine_type=row.get("type", terms.read_text),
     )
     return cache, row.get("address", read_address)
 
 
 def read_event(event):
-    event = terms.Stated(event, "event")
-    n = event.get("n", terms.whole)
+    event = terms.SettingsReader(event, "event")
+    n = event.get("n", terms.read_integer)
     if "members" in event.values:
-        members = event.part("members")
-        rows = [read_cache(row) for row in members.get("endpoints", terms.listed)]
+        members = event.section("members")
+        rows = [read_cache(row) for row in members.get("endpoints", terms.read_array)]
         return Listed(
             n,
-            members.get("snapshot", terms.flag),
+            members.get("snapshot", terms.read_flag),
             tuple(cache for cache, _ in rows),
             tuple(address for _, address in rows),
         )
     if "purge" not in event.values:
         raise Malformed("event: neither members nor a purge")
-    purge = event.part("purge")
+    purge = event.section("purge")
     by_key = "key" in purge.values
     return Purge(
         n,
-        purge.get("at", terms.down),
-        0 if by_key else purge.get("group", terms.whole),
-        purge.get("key", terms.text) if by_key else None,
+        purge.get("at", terms.floor_units),
+        0 if by_key else purge.get("group", terms.read_integer),
+        purge.get("key", terms.read_text) if by_key else None,
     )
 
 
@@ -79,5 +79,7 @@
 
 def read_known(known):
     """The events as of the start: the last number, and each event in order."""
-    known = terms.Stated(known, "known")
-    return known.get("n", terms.whole), [read_event(event) for event in known.get("events", terms.listed)]
+    known = terms.SettingsReader(known, "known")
+    return known.get("n", terms.read_integer), [
+        read_event(event) for event in known.get("events", terms.read_array)
+    ]
--- a/hookrouter/front/calls.py
+++ b/hookrouter/front/calls.py
@@ -4,7 +4,7 @@
 
 from ..parsers import thrift
 from ..parsers.thrift import Malformed
-from ..terms import TENTHS
+from ..terms import UNITS_PER_MS
 
 MOST_FIELDS = 32  # in one call: the service's own have eleven at most
 LONGEST_FIELD = 256  # bytes; the longest of the service's own has 32
@@ -52,7 +52,7 @@
     asked = Asked(
         trace=digits(fields, "ref", ID),
         kind=named(fields, "service"),
-        allow=int(amount(fields, "allow", LONGEST_ALLOW) * TENTHS),
+        allow=int(amount(fields, "allow", LONGEST_ALLOW) * UNITS_PER_MS),
         repeat=fields.get("dup", "") not in ("", "0"),
         key=mark(fields, "replay"),
         object=digits(fields, "lookup", ID),
@@ -151,7 +151,7 @@
 
 
 def nacked(name, seqid, stay_away):
-    fields = {"cooldown": str(stay_away // TENTHS)} if stay_away >= TENTHS else {}
+    fields = {"cooldown": str(stay_away // UNITS_PER_MS)} if stay_away >= UNITS_PER_MS else {}
     return excepted(name, seqid, 1, fields)
 
 
--- a/hookrouter/front/connections.py
+++ b/hookrouter/front/connections.py
@@ -199,7 +199,7 @@
 
     def end_idle(self):
         """Ends the connections on which no call is open nor begun; one half come has its time to be heard."""
-        for connection in self.connections.held():
+        for connection in self.connections.occupied():
             if not connection.open:
                 connection.catch_up()
             if not connection.open and connection not in self.halves:
@@ -207,7 +207,7 @@
 
     def cut_off(self):
         """All of them, now; those that linger have had all written and are closed in order."""
-        for connection in self.connections.held():
+        for connection in self.connections.occupied():
             if connection in self.lingering:
                 connection.transport.loseConnection()
             else:
--- a/hookrouter/node/counters.py
+++ b/hookrouter/node/counters.py
@@ -90,7 +90,7 @@
 def held(router):
     """What is taken and not given back yet."""
     return {
-        "sends_out": sum(len(lookup.running) for lookup in router.lookups.held()),
+        "sends_out": sum(len(lookup.running) for lookup in router.lookups.occupied()),
         "sends_believed_out": len(router.control.pending_sends),
         "caches_set_aside": sum(trickle is not None for trickle in router.control.health.trickle),
         "caches_listed": len(router.caches.places),
@@ -99,7 +99,7 @@
         "connections_held": len(router.caches.connections),
         "sends_waiting": len(router.caches.waiting),
         "deadlines_held": len(router.deadlines),
-        "body_bytes_held": router.front.room.held + router.caches.room.held,
+        "body_bytes_held": router.front.room.used_bytes + router.caches.room.used_bytes,
         "half_frame_bytes_held": router.front.half_held,
         **(router.purges.held() if router.purges is not None else {}),
         "copies_held": len(router.copies),
--- a/hookrouter/node/router.py
+++ b/hookrouter/node/router.py
@@ -141,7 +141,7 @@
         own = event.id if isinstance(event, (interface.Lookup, interface.SendEnd)) else None
         return [
             lookup.number
-            for lookup in self.lookups.held()
+            for lookup in self.lookups.occupied()
             if not lookup.ended and (lookup.number == own or lookup.due <= self.latest)
         ]
 
--- a/hookrouter/node/start.py
+++ b/hookrouter/node/start.py
@@ -38,7 +38,7 @@
 
 def seed(value, what):
     if type(value) not in (str, int):
-        raise Malformed(f"{what}: text or a whole number is wanted, not {terms.shown(value)}")
+        raise Malformed(f"{what}: text or a whole number is wanted, not {terms.excerpt(value)}")
     return value
 
 
@@ -73,30 +73,30 @@
         raise Malformed(f"EDGE_CONFIG: {path}: {wrong.strerror}") from None
     except (ValueError, RecursionError) as wrong:
         raise Malformed(f"EDGE_CONFIG: {path}: {wrong}") from None
-    stated = terms.Stated(stated, "config")
-    limits = stated.part("limits")
-    sockets = limits.get("sockets", terms.whole)
+    stated = terms.SettingsReader(stated, "config")
+    limits = stated.section("limits")
+    sockets = limits.get("sockets", terms.read_integer)
     if sockets < 64:
         raise Malformed(f"config.limits.sockets: {sockets} is too few, 64 at least")
     memory, flow, link = (
-        limits.get("memory_mb", terms.whole),
-        stated.get("flow_bytes_per_s", terms.number),
-        stated.get("link_bytes_per_s", terms.number),
+        limits.get("memory_mb", terms.read_integer),
+        stated.get("flow_bytes_per_s", terms.read_number),
+        stated.get("link_bytes_per_s", terms.read_number),
     )
     if flow <= 0 or link <= 0:
         raise Malformed("config.flow_bytes_per_s and config.link_bytes_per_s must be above 0")
-    known = stated.get("known", terms.named)
+    known = stated.get("known", terms.read_object)
     last, events = read_known(known)
-    stated_terms = terms.read_terms(stated.get("settings", terms.named))
+    stated_terms = terms.read_terms(stated.get("settings", terms.read_object))
     if sections and "fleet" in sections and not stated_terms.may_message_peers:
         raise Malformed("[fleet]: the platform's settings forbid talk among routers; take it out")
     purges, tags = None, None
     if sections and "purges" in sections:
         purges, tags = read_purges(sections["purges"], stated_terms.kinds, opened)
     return Start(
-        name=environment.get("EDGE_NAME") or stated.get("name", terms.text),
+        name=environment.get("EDGE_NAME") or stated.get("name", terms.read_text),
         listen=read_address(
-            environment.get("EDGE_LISTEN") or stated.get("listen", terms.text), "EDGE_LISTEN"
+            environment.get("EDGE_LISTEN") or stated.get("listen", terms.read_text), "EDGE_LISTEN"
         ),
         seed=stated.get("seed", seed),
         memory=memory,
--- a/hookrouter/site/values.py
+++ b/hookrouter/site/values.py
@@ -8,9 +8,9 @@
 from typing import Any
 
 from ..errors.site import InvalidValue
-from ..terms import SECOND, TENTHS
+from ..terms import SECOND, UNITS_PER_MS
 
-SPANS = {"ms": TENTHS, "s": SECOND, "min": 60 * SECOND, "h": 3_600 * SECOND, "d": 86_400 * SECOND}
+SPANS = {"ms": UNITS_PER_MS, "s": SECOND, "min": 60 * SECOND, "h": 3_600 * SECOND, "d": 86_400 * SECOND}
 SIZES = {"B": 1, "kB": 1_000, "MB": 1_000_000, "GB": 1_000_000_000}
 LEAST_SECRET = 16  # bytes: fewer can be guessed
 MOST_DESKS = 5  # as many as there are keepers
--- a/hookrouter/tables/__init__.py
+++ b/hookrouter/tables/__init__.py
@@ -1,1 +1,1 @@
-"""What is kept and decides nothing: beliefs and copies of a router, numbered slots, deadlines, room."""
+"""In-memory tables that make no decisions: router state, copies, numbered slots, deadlines, body memory."""
--- a/hookrouter/tables/body_memory.py
+++ b/hookrouter/tables/body_memory.py
@@ -1,30 +1,36 @@
-"""The memory for bodies: who takes of it gives it back; while it is full, who would read more waits."""
+"""Accounting of the memory for bodies: while it is full, readers wait until enough has been given back."""
 
 
 class BodyMemory:
-    def __init__(self, size, filled):
-        """filled: called each time the first reader has to wait."""
-        self.size, self.held, self.filled = size, 0, filled
-        self.waiting = {}  # what has a resume() -> True, in the order in which they came
+    """Counts bytes in use against a limit. Exceeding the limit is allowed; readers check full() and wait."""
+
+    def __init__(self, size, on_full):
+        """size: in bytes; on_full: called whenever a reader starts to wait while none is waiting."""
+        self.size, self.used_bytes, self.on_full = size, 0, on_full
+        self.waiting = {}  # reader -> True, in order of arrival
 
     def take(self, count):
-        self.held += count
+        """Counts these bytes as used, even beyond the limit."""
+        self.used_bytes += count
 
     def give_back(self, count):
-        self.held -= count
+        """Frees these bytes; resumes all waiting readers once usage is below the limit."""
+        self.used_bytes -= count
         if self.waiting and not self.full():
             waiting, self.waiting = self.waiting, {}
             for reader in waiting:
                 reader.resume()
 
     def full(self):
-        return self.held >= self.size
+        """Whether usage has reached the limit."""
+        return self.used_bytes >= self.size
 
     def wait(self, reader):
-        """reader.resume() is called once there is room again."""
+        """Calls reader.resume() once usage is below the limit again."""
         if not self.waiting:
-            self.filled()
+            self.on_full()
         self.waiting[reader] = True
 
     def leave(self, reader):
+        """Stops waiting for this reader, if it waits."""
         self.waiting.pop(reader, None)
--- a/hookrouter/tables/copy_cache.py
+++ b/hookrouter/tables/copy_cache.py
@@ -1,40 +1,43 @@
-"""Copies that are kept, within so many bytes: the one used longest ago goes first."""
+"""Copies of objects held within a limit of bytes; the least recently used is evicted first."""
 
 NO_COPY = None, 0, None
 
 
 class CopyCache:
-    def __init__(self, room):
-        self.room, self.bytes = room, 0
-        self.copies = {}  # name, (kind, object, part) -> (made, bytes, group), the last used last
+    """Holds at most `capacity` bytes of copies; sizes are in bytes, times in the caller's units."""
 
-    def get(self, name):
-        """(made, bytes, group); made is None where none is kept."""
-        return self.copies.get(name, NO_COPY)
+    def __init__(self, capacity):
+        self.capacity, self.bytes = capacity, 0
+        self.copies = {}  # key, (kind, object, part) -> (made, bytes, group), least recently used first
 
-    def used(self, name):
-        self.copies[name] = self.copies.pop(name)
+    def get(self, key):
+        """Returns (made, bytes, group); made is None where there is no copy."""
+        return self.copies.get(key, NO_COPY)
 
-    def put(self, name, made, size, group):
-        """In place of an older one. Names of what had to go for it, the one it replaces first."""
-        gone = [name] if self._drop(name) else []
-        self.copies[name] = made, size, group
+    def mark_used(self, key):
+        """Makes this copy the most recently used; KeyError if there is none."""
+        self.copies[key] = self.copies.pop(key)
+
+    def put(self, key, made, size, group):
+        """Stores a copy, replacing an older one. Returns the keys removed, its own first if replaced."""
+        removed = [key] if self._drop(key) else []
+        self.copies[key] = made, size, group
         self.bytes += size
-        while self.bytes > self.room:
-            gone.append(next(iter(self.copies)))
-            self._drop(gone[-1])
-        return gone
+        while self.bytes > self.capacity:
+            removed.append(next(iter(self.copies)))
+            self._drop(removed[-1])
+        return removed
 
-    def purge(self, what, made):
-        """Names of the copies of that object or group that were made by then; they are gone."""
+    def purge(self, target, made):
+        """Removes the copies of that object or group made at `made` or earlier; returns their keys."""
         return [
-            name
-            for name, (since, _, group) in list(self.copies.items())
-            if since <= made and what in (name[1], group) and self._drop(name)
+            key
+            for key, (copy_made, _, group) in list(self.copies.items())
+            if copy_made <= made and target in (key[1], group) and self._drop(key)
         ]
 
-    def _drop(self, name):
-        copy = self.copies.pop(name, None)
+    def _drop(self, key):
+        copy = self.copies.pop(key, None)
         if copy is not None:
             self.bytes -= copy[1]
         return copy is not None
--- a/hookrouter/tables/deadlines.py
+++ b/hookrouter/tables/deadlines.py
@@ -1,12 +1,15 @@
-"""All deadlines of the process in one order: one heap, one timer of the reactor."""
+"""All deadlines of the process: one heap, served by a single reactor timer."""
 
 from heapq import heapify, heappop, heappush
 
-MIN_CLEARED = 64  # dropped entries that are not worth a clearing
+MIN_CLEARED = 64  # with no more dropped entries than this, rebuilding the heap is not worth it
 
 
 class Deadlines:
-    """clock: what has seconds() and callLater(), the reactor or Twisted's task.Clock."""
+    """Calls functions at their deadlines, in order of time; times are in seconds.
+
+    clock: an object with seconds() and callLater(), such as the reactor or twisted.internet.task.Clock.
+    """
 
     def __init__(self, clock):
         self.clock = clock
@@ -18,7 +21,7 @@
         return len(self.heap) - self.dropped
 
     def after(self, seconds, call, *args):
-        """Calls once, that much later. The entry handed back is for drop()."""
+        """Schedules call(*args) once, `seconds` from now. Returns an entry for drop()."""
         self.count += 1
         entry = [self.clock.seconds() + seconds, self.count, call, args]
         heappush(self.heap, entry)
@@ -27,7 +30,7 @@
         return entry
 
     def drop(self, entry):
-        """Does nothing for an entry that has been called or dropped, nor for None."""
+        """Cancels an entry. Does nothing for one that has been called or dropped, or for None."""
         if entry is None or entry[2] is None:
             return
         entry[2] = entry[3] = None
@@ -38,16 +41,16 @@
             self.dropped = 0
 
     def sooner(self, entry, seconds):
-        """Whether a call that much from now would come before this one; true where this one is over."""
+        """Whether a call `seconds` from now would precede this entry; true if the entry is over."""
         return entry[2] is None or self.clock.seconds() + seconds < entry[0]
 
     def due(self, entry, unit):
-        """Whether it is called now or has been, in whole units of time."""
+        """Whether the entry has been called or dropped, or less than `unit` seconds remain."""
         return entry[2] is None or entry[0] - self.clock.seconds() < unit
 
     def _set(self):
         if self.running:
-            return  # set once the calls that are due are through
+            return  # _run sets the timer after the calls that are due
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         self.timer = None
--- a/hookrouter/tables/slots.py
+++ b/hookrouter/tables/slots.py
@@ -1,44 +1,50 @@
-"""A table of numbered slots. A number names a slot and its owner: once given back it meets nobody again."""
+"""A bounded table of numbered slots whose numbers are never used again.
+
+A number encodes its slot and the slot's generation, so a number that was given back finds no later value.
+"""
 
 
 class Slots:
+    """Holds up to `size` values; get() returns None for a stale number, give_back() raises KeyError."""
+
     def __init__(self, size):
         self.size = size
-        self.things = []  # by slot; None where free
+        self.values = []  # by slot; None where free
         self.generations = []
         self.free = []
 
     def __len__(self):
-        return len(self.things) - len(self.free)
+        return len(self.values) - len(self.free)
 
-    def take(self, thing):
-        """A number for this thing, or None where the table is full."""
+    def take(self, value):
+        """Stores the value and returns its number, or None if the table is full."""
         if self.free:
             slot = self.free.pop()
-            self.things[slot] = thing
-        elif len(self.things) < self.size:
-            slot = len(self.things)
-            self.things.append(thing)
+            self.values[slot] = value
+        elif len(self.values) < self.size:
+            slot = len(self.values)
+            self.values.append(value)
             self.generations.append(0)
         else:
             return None
         return self.generations[slot] * self.size + slot
 
     def get(self, number):
-        """The thing under this number, or None where the slot has gone to another since."""
+        """The value under this number, or None if the number has been given back."""
         generation, slot = divmod(number, self.size)
-        if slot < len(self.things) and self.generations[slot] == generation:
-            return self.things[slot]
+        if slot < len(self.values) and self.generations[slot] == generation:
+            return self.values[slot]
         return None
 
     def give_back(self, number):
+        """Frees the slot of this number; KeyError if the number is not in use."""
         generation, slot = divmod(number, self.size)
-        if slot >= len(self.things) or self.generations[slot] != generation:
-            raise KeyError(f"slot {slot} is not held under {number}")
-        self.things[slot] = None
+        if slot >= len(self.values) or self.generations[slot] != generation:
+            raise KeyError(f"slot {slot} is not in use under number {number}")
+        self.values[slot] = None
         self.generations[slot] += 1
         self.free.append(slot)
 
-    def held(self):
-        """What is in the table now, in the order of the slots."""
-        return [thing for thing in self.things if thing is not None]
+    def occupied(self):
+        """The values now in the table, in slot order."""
+        return [value for value in self.values if value is not None]
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -44,7 +44,7 @@
         return [ended.end for ended in self.ended]
 
     def nothing_is_left(self):
-        assert len(self.deadlines) == 0 and len(self.caches.connections) == 0 and self.room.held == 0
+        assert len(self.deadlines) == 0 and len(self.caches.connections) == 0 and self.room.used_bytes == 0
         assert not self.caches.waiting and not self.caches.idle and not self.room.waiting
 
 
@@ -106,7 +106,7 @@
     assert ended.unchanged == (b" 304 " in said) and b"".join(ended.pieces) == (
         b"body" if b" 200 " in said else b""
     )
-    assert ended.length == len(b"".join(ended.pieces)) and s.room.held == 0
+    assert ended.length == len(b"".join(ended.pieces)) and s.room.used_bytes == 0
 
 
 @pytest.mark.parametrize(
@@ -135,7 +135,7 @@
     s = Scene()
     s.send()
     s.up().come(answer(200, b"x" * 100)[:-1])
-    assert s.room.held == 99
+    assert s.room.used_bytes == 99
     s.net.ways[-1].wire.abortConnection()
     s.net.advance(0)
     assert s.ends() == [interface.BROKEN]
--- a/tests/test_crossings_linger.py
+++ b/tests/test_crossings_linger.py
@@ -42,7 +42,7 @@
 
 
 def open_clients(machine):
-    return [connection.transport.client for connection in machine.router.front.connections.held()]
+    return [connection.transport.client for connection in machine.router.front.connections.occupied()]
 
 
 CROSSING = {
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -80,7 +80,7 @@
         1: (thrift.REPLY, {0: {1: b"", 2: {b"same": b"1"}, 3: True}}),
         4: (thrift.REPLY, {2: {1: {}}}),
     }
-    assert s.room.held == 0
+    assert s.room.used_bytes == 0
 
 
 def test_check_tells_whether_lookups_can_be_served():
@@ -98,7 +98,7 @@
     wire.come(message(1, body=b"x" * 100))
     wire.come(message(2, b"interrupt", interrupted=1) + message(3, b"interrupt", interrupted=9))
     s.front.satisfied(s.desk.calls[0][0], (b"x",), 1)
-    assert s.desk.gone == [s.desk.calls[0][0]] and wire.take() == b"" and s.room.held == 0
+    assert s.desk.gone == [s.desk.calls[0][0]] and wire.take() == b"" and s.room.used_bytes == 0
 
 
 def test_bad_calls_get_their_failure_and_the_others_go_on():
@@ -171,7 +171,7 @@
         and [call[1] for call, _ in s.desk.calls] in ([1], [1, 2])
         and s.desk.gone == [c for c, _ in s.desk.calls]
     )
-    assert wire.take() == b"" and s.room.held == 0
+    assert wire.take() == b"" and s.room.used_bytes == 0
 
 
 def test_a_call_withdrawn_in_the_read_that_brought_it_is_not_taken():
@@ -267,7 +267,7 @@
     wire.come(b"\xff" * 50)
     s.net.advance(0)
     assert not wire.open and other.open and s.desk.gone == [s.desk.calls[0][0]]
-    assert len(s.front.connections) == 1 and s.room.held == 0
+    assert len(s.front.connections) == 1 and s.room.used_bytes == 0
     s.front.satisfied(s.desk.calls[0][0], (b"x",), 1)
     s.front.failed(s.desk.calls[1][0])
     assert wire.take() == b"" and len(answers(other.take())) == 1
@@ -297,7 +297,7 @@
     wire.come(message(1) + message(2) + message(3))
     wire.producer.pauseProducing()  # the transport's buffer is long
     s.front.satisfied(s.desk.calls[0][0], (b"x" * 500,), 500)
-    assert wire.producerState == "producing" and wire.take() == b"" and s.room.held > 500
+    assert wire.producerState == "producing" and wire.take() == b"" and s.room.used_bytes > 500
     wire.come(message(4, b"interrupt", interrupted=2))
     assert s.desk.gone == [s.desk.calls[1][0]]
     wire.producer.pauseProducing()  # as at each write beyond it
@@ -306,7 +306,7 @@
     assert len(s.desk.calls) == 3 and "calls_without_room" in s.noted.counted  # its answer would wait too
     wire.producer.resumeProducing()
     got = answers(wire.take())
-    assert [got[n][1].keys() for n in (1, 3, 5)] == [{0}, {0}, {1}] and s.room.held == 0
+    assert [got[n][1].keys() for n in (1, 3, 5)] == [{0}, {0}, {1}] and s.room.used_bytes == 0
     wire.come(message(6))
     s.net.pump([9, 0.9])
     wire.producer.pauseProducing()
@@ -314,7 +314,7 @@
     assert wire.open  # it had read all: that it waited before is forgotten
     s.front.satisfied(s.desk.calls[3][0], (b"x" * 500,), 500)
     s.net.pump([5, 5, 0])
-    assert not wire.open and s.room.held == 0 and "clients_not_reading" in s.noted.counted
+    assert not wire.open and s.room.used_bytes == 0 and "clients_not_reading" in s.noted.counted
 
 
 def test_a_client_that_reads_slowly_but_reads_is_not_ended():
@@ -334,7 +334,7 @@
         assert wire.open
     assert len(answers(wire.take())) == 5
     s.net.pump([9, 2, 0])
-    assert not wire.open and s.room.held == 0  # the last batch was not read
+    assert not wire.open and s.room.used_bytes == 0  # the last batch was not read
 
 
 def test_what_lies_behind_a_call_is_read_before_it_is_taken():
@@ -442,7 +442,7 @@
     assert wire.open
     s.front.satisfied(s.desk.calls[1][0], (b"x" * 1_000,), 1_000)
     s.net.advance(0)
-    assert not wire.open and s.room.held == 0
+    assert not wire.open and s.room.used_bytes == 0
 
 
 def test_connections_without_calls_end_after_the_idle_time_the_others_stay():
--- a/tests/test_node_floods.py
+++ b/tests/test_node_floods.py
@@ -98,12 +98,12 @@
         # What the module believes to be out is what is out, and its counts by cache are made of just that.
         control, out = (
             s.router.control,
-            {(lk.number, n) for lk in s.router.lookups.held() for n in lk.running},
+            {(lk.number, n) for lk in s.router.lookups.occupied() for n in lk.running},
         )
         assert set(control.pending_sends) == out and sum(control.in_flight) == sum(
             1 + (sent.upstream not in (None, sent.target)) for sent in control.pending_sends.values()
         )
-        assert len(out) == len([c for c in s.router.caches.connections.held() if c.send]) + len(
+        assert len(out) == len([c for c in s.router.caches.connections.occupied() if c.send]) + len(
             s.router.caches.waiting
         )
         for m, wire in enumerate(wires):
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -36,7 +36,7 @@
             assert (number is None) == (len(plain) == 10) and number not in past
             if number is not None:
                 plain[number] = n
-        assert len(slots) == len(plain) and sorted(slots.held()) == sorted(plain.values())
+        assert len(slots) == len(plain) and sorted(slots.occupied()) == sorted(plain.values())
     assert all(slots.get(number) is None for number in past)
 
 
