--- a/hookrouter/errors/__init__.py
+++ b/hookrouter/errors/__init__.py
@@ -1,26 +1,29 @@
-"""What goes wrong, by area: each kind with a code that stays, and a line on what an operator can do.
+"""Errors that are reported to operators, by area: each class has a stable code and advice on what to do.
 
-This package knows nothing of the rest. An area's kinds are loaded with it; docs/operate/errors.md lists all.
+This package imports nothing else of hookrouter. docs/operate/errors.md lists all codes.
 """
 
 AREAS = ("commands", "listening", "platform", "site", "stores", "wire")
 
 
 class HookrouterError(Exception):
-    """The text says what is wrong. code: short, never used for something else; exit: of a command it ends."""
+    """Base class; the exception text says what is wrong.
+
+    code: a short name that is never reused for another error; exit_code: that of a command which it ends.
+    """
 
     code = "trouble"
-    advice = "look at what is named; if that is in order, report the line"
+    advice = "check what the message names; if that is in order, report the message"
     exit_code = 1
-    prefix = "hookrouter: "  # of what a command says
+    prefix = "hookrouter: "  # of the message that a command prints
 
     def user_message(self):
-        """One line for a person: what is wrong, what to do, and the code to look it up by."""
+        """One line for an operator: what is wrong, what to do, and the code to look it up by."""
         return f"{self}; do: {self.advice} ({self.code})"
 
 
 def errors_by_code():
-    """All kinds, by code."""
+    """All error classes of this package, sorted by code; loads every area."""
     from importlib import import_module
 
     for area in AREAS:
--- a/hookrouter/errors/commands.py
+++ b/hookrouter/errors/commands.py
@@ -1,98 +1,98 @@
-"""What ends a command that a person has called."""
+"""Errors that end a command."""
 
 from . import HookrouterError
 
 
 class UsageError(HookrouterError):
-    """What was asked for makes no sense; the text says what is wanted."""
+    """Invalid arguments; the text says what is expected."""
 
     code = "command-use"
-    advice = "call it as its --help shows"
+    advice = "see the command's --help"
     exit_code = 2
 
 
 class FileUnavailable(HookrouterError):
-    """A file or folder that is not there, or cannot be read."""
+    """A file or directory that does not exist or cannot be read."""
 
     code = "command-file"
-    advice = "name a file that is there and that you may read"
+    advice = "name an existing file that you may read"
     exit_code = 2
 
 
 class InvalidInput(HookrouterError, ValueError):
-    """A line of a file that cannot be used."""
+    """A line of an input file that is invalid."""
 
     code = "command-input"
-    advice = "correct that line; nothing of the file was taken"
+    advice = "correct that line; nothing in the file has been submitted"
     exit_code = 2
 
 
 class SystemFailure(HookrouterError):
-    """The system refused something that no other kind names."""
+    """An operating system error that no other class covers."""
 
     code = "system"
-    advice = "look at the file, address or disk that is named"
+    advice = "check the file, address or disk that the message names"
 
 
 class DeskUnreachable(HookrouterError):
-    """Nobody answers at the desk's addresses."""
+    """No desk answers at the configured addresses."""
 
     code = "desk-away"
     advice = "start the desk, or correct [purges] desk; docs/operate/purges.md"
 
 
 class NotADesk(HookrouterError):
-    """Something answers there that is no desk."""
+    """Something other than a desk answers at the configured address."""
 
     code = "desk-other"
     advice = "correct [purges] desk"
 
 
 class DeskAccessDenied(HookrouterError):
-    """The desk does not know the secret."""
+    """The desk rejects the secret."""
 
     code = "desk-denied"
-    advice = "name the file with the desk's secret in [purges] secret"
+    advice = "name the file that holds the desk's secret in [purges] secret"
     exit_code = 2
 
 
 class DeskRefused(HookrouterError):
-    """The desk does not do it; the text is the desk's."""
+    """The desk refused the request; the text is the desk's."""
 
     code = "desk-refused"
-    advice = "do what the text asks, and call again; what was submitted under a key is not taken twice"
+    advice = "do what the message says and try again; a submission with the same key is not accepted twice"
 
 
 class PurgeNotInEffect(HookrouterError):
-    """Accepted, and not in effect in the time that was waited for."""
+    """A purge was accepted but did not take effect within the time waited for."""
 
     code = "purge-not-yet"
-    advice = "wait, or see who is behind: hookrouter purges status NUMBER"
+    advice = "wait, or see which followers are behind: hookrouter purges status NUMBER"
 
 
 class KeepersUnreachable(HookrouterError):
-    """No keeper answers, or none leads."""
+    """No keeper answers, or none is the leader."""
 
     code = "keepers-away"
-    advice = "start the keepers, or correct [fleet] keepers and secret; hookrouter fleet status says more"
+    advice = "start the keepers, or correct [fleet] keepers and secret; see hookrouter fleet status"
 
 
 class FleetRefused(HookrouterError):
-    """The fleet does not do it; the text is the leader's."""
+    """The fleet refused the request; the text is the leader's."""
 
     code = "fleet-refused"
-    advice = "do what the text asks; hookrouter fleet owners and members show how it stands"
+    advice = "do what the message says; hookrouter fleet owners and members show the current state"
 
 
 class CopiesDiffer(HookrouterError):
-    """Not all keepers' copies of records are alike."""
+    """The keepers' copies of the records are not identical."""
 
     code = "copies-differ"
-    advice = "do what each row's rule says, and compare again"
+    advice = "apply the rule given in each row, and compare again"
 
 
 class TraceNotReplayable(HookrouterError):
-    """A trace that this build cannot play."""
+    """A trace that this build cannot replay."""
 
     code = "trace-other"
-    advice = "give the trace of a whole life, from its first segment on, to the version that wrote it"
+    advice = "give the trace of one whole run, from its first segment on, to the version that wrote it"
--- a/hookrouter/errors/listening.py
+++ b/hookrouter/errors/listening.py
@@ -1,10 +1,10 @@
-"""Addresses at which something listens."""
+"""Errors of listening addresses."""
 
 from . import HookrouterError
 
 
 class ListenRefused(HookrouterError):
-    """It cannot listen there; the text is the system's."""
+    """The system refused to listen at an address; the text is the system's."""
 
     code = "listen-refused"
-    advice = "free that address, or name one of this machine: EDGE_LISTEN, or listen in the operator's file"
+    advice = "free that address, or set one of this machine: EDGE_LISTEN, or listen in the operator's file"
--- a/hookrouter/errors/platform.py
+++ b/hookrouter/errors/platform.py
@@ -1,11 +1,13 @@
-"""What the platform gives a router: its variables, the file that EDGE_CONFIG names, the settings therein."""
+"""Errors in what the platform provides: environment variables and the file that EDGE_CONFIG names."""
 
 from . import HookrouterError
 
 
 class Malformed(HookrouterError, ValueError):
-    """A variable, a key or an event that cannot be read; the text names it."""
+    """A variable, key or event with an invalid value; the text names it."""
 
     code = "platform-value"
-    advice = "correct that variable, or that key of the file that EDGE_CONFIG names; hookrouter check tells"
+    advice = (
+        "correct that variable, or that key of the file that EDGE_CONFIG names; verify with hookrouter check"
+    )
     exit_code = 2
--- a/hookrouter/errors/site.py
+++ b/hookrouter/errors/site.py
@@ -1,34 +1,35 @@
-"""The operator's file."""
+"""Errors in the operator's configuration file."""
 
 from . import HookrouterError
 
 
 class InvalidValue(HookrouterError, ValueError):
-    """One value; the text says what is wrong and what is wanted."""
+    """An invalid value; the text says what is wrong and what is expected."""
 
     code = "site-value"
-    advice = "give a value of the form that is wanted; deploy/hookrouter.ini shows each key"
+    advice = "give a value of the expected form; deploy/hookrouter.ini shows each key"
     exit_code = 2
 
 
 class InvalidSiteFile(HookrouterError):
-    """The file cannot be used; lines: `FILE:LINE: [section] key: what is wrong`, a fault each."""
+    """An invalid file. lines: one `FILE:LINE: [section] key: what is wrong` for each error in it."""
 
     code = "site-file"
-    advice = "correct each line that is named; hookrouter check --site FILE says the same without serving"
+    advice = "correct each line that is named; verify with hookrouter check --site FILE"
     exit_code = 2
-    prefix = ""  # each line begins with its place, as editors want it
+    prefix = ""  # each line starts with its position, in the form that editors recognise
 
     def __init__(self, lines):
         super().__init__("\n".join(lines))
         self.lines = lines
 
     def user_message(self):
+        """A line for each error, and one with the advice and the code."""
         return "\n".join((*self.lines, f"do: {self.advice} ({self.code})"))
 
 
 class SiteFileNotNamed(HookrouterError):
-    """A command needs the file, and none is named."""
+    """A command that needs the file was given none."""
 
     code = "site-unnamed"
     advice = "give --site FILE, or set HOOKROUTER_SITE"
@@ -36,8 +37,8 @@
 
 
 class MissingSection(HookrouterError):
-    """A section that a command needs, or a key of one."""
+    """A section or key that a command needs is missing from the file."""
 
     code = "site-section"
-    advice = "add it, or run this where the file has it; deploy/hookrouter.ini shows each section"
+    advice = "add it, or run the command where the file has it; deploy/hookrouter.ini shows each section"
     exit_code = 2
--- a/hookrouter/errors/stores.py
+++ b/hookrouter/errors/stores.py
@@ -1,67 +1,69 @@
-"""Files that last: stores of keepers and desks, traces."""
+"""Errors of persistent files: the stores of keepers and desks, and traces."""
 
 from . import HookrouterError
 
 
 class UnusableStore(HookrouterError):
-    """This file cannot be opened as a store; the text says why."""
+    """A file that cannot be opened as a store; the text says why."""
 
     code = "store-unusable"
-    advice = "name a file in a folder that is there and may be written, with room left on its disk"
+    advice = "name a file in an existing, writable directory with free disk space"
 
 
 class LockedStore(UnusableStore):
-    """Another process has it open."""
+    """Another process has the store open."""
 
     code = "store-held"
-    advice = "end the process that runs on it, or name another file: a store is one process's at a time"
+    advice = "stop the process that uses it, or name another file: only one process may use a store at a time"
 
 
 class ForeignStore(UnusableStore):
-    """It is another program's, another keeper's or another version's."""
+    """The file belongs to another program, keeper or version."""
 
     code = "store-foreign"
-    advice = "correct the name of the store in the operator's file; nothing was changed in that file"
+    advice = "correct the name of the store in the operator's file; the file found there was not changed"
 
 
 class DamagedStore(UnusableStore):
-    """The store is not as it was written. n: the first purge that cannot be trusted, or None."""
+    """The store's content is corrupt. first_bad: number of the first purge affected, or None."""
 
     code = "store-damaged"
     advice = (
-        "move it away; a keeper learns anew from the others, a desk of its own needs a copy put back "
-        "and the purges made since"
+        "move it away; a keeper fetches its state from the others, a single desk needs a backup restored "
+        "and the purges made since repeated"
     )
 
-    def __init__(self, text, n=None):
+    def __init__(self, text, first_bad=None):
         super().__init__(text)
-        self.n = n
+        self.first_bad = first_bad
 
 
 class CopyDiffers(HookrouterError):
-    """The store holds something else than what it was held against."""
+    """The store's content differs from what it was compared with."""
 
     code = "copy-differs"
-    advice = "nothing: the copy is put away and filled anew; hookrouter fleet compare shows when it is done"
+    advice = (
+        "none needed: the copy is set aside and fetched again; hookrouter fleet compare shows when it is done"
+    )
 
 
 class TruncatedTrace(HookrouterError, ValueError):
-    """A segment ends before its end; what comes before it counts."""
+    """A trace segment is truncated; the rows before that point are valid."""
 
     code = "trace-torn"
-    advice = "nothing where a router was killed; else look at the disk"
+    advice = "none needed if a router was killed; otherwise check the disk"
 
 
 class UnreadableTrace(HookrouterError, ValueError):
-    """These bytes are no line of a trace."""
+    """Bytes that are not a line of a trace."""
 
     code = "trace-unreadable"
-    advice = "name files that [trace] of a router of this version has written"
+    advice = "name trace files written by a router of this version"
 
 
 class NoTraceFound(HookrouterError):
-    """No segment there, or none with a lookup's end."""
+    """There is no trace segment, or none contains the end of a lookup."""
 
     code = "trace-empty"
-    advice = "name NAME.NUMBER.trace files or their folder, of routers that have run with [trace]"
+    advice = "name NAME.NUMBER.trace files or their directory, of routers that ran with [trace]"
     exit_code = 2
--- a/hookrouter/errors/wire.py
+++ b/hookrouter/errors/wire.py
@@ -1,75 +1,75 @@
-"""Bytes from others that are not what they should be. Each touches its own connection only."""
+"""Errors in bytes from other processes. Each affects only the connection that it came over."""
 
 from . import HookrouterError
 
 
 class MalformedThrift(HookrouterError, ValueError):
-    """These bytes are no such message; the text says what was wrong."""
+    """Invalid Thrift message; the text says what is wrong."""
 
     code = "wire-client"
-    advice = "find the client: it speaks another protocol, or breaks this one"
+    advice = "find the client: it speaks another protocol, or violates this one"
 
 
 class MalformedHttp(HookrouterError, ValueError):
-    """This is no answer in HTTP/1.1; the text says what was wrong."""
+    """Invalid HTTP/1.1 response; the text says what is wrong."""
 
     code = "wire-answer"
-    advice = "look at the cache, desk or feed that is named"
+    advice = "check the cache, desk or feed that is named"
 
 
 class MalformedEvents(HookrouterError, ValueError):
-    """This is no stream of events; the text says what was wrong."""
+    """Invalid event stream; the text says what is wrong."""
 
     code = "wire-events"
-    advice = "look at the control feed, or at what stands before it"
+    advice = "check the control feed, or any proxy in front of it"
 
 
 class MalformedPurges(HookrouterError, ValueError):
-    """These bytes are not what was asked for; the text says what is wrong."""
+    """Invalid message about purges; the text says what is wrong."""
 
     code = "wire-purges"
-    advice = "correct the caller, or its version: docs/operate/purges.md has the form"
+    advice = "correct the caller, or its version: docs/operate/purges.md gives the format"
 
 
 class MalformedSlice(MalformedPurges):
-    """These bytes are not the sealed slice of purges that was asked for; the text says why."""
+    """Bytes that are not the sealed slice of purges that was requested; the text says why."""
 
     code = "wire-slice"
-    advice = (
-        "none is needed: it was put aside and is fetched again; if it goes on, look at that desk or relay"
-    )
+    advice = "none needed: it was discarded and is fetched again; if it persists, check that desk or relay"
 
 
 class MalformedFrame(HookrouterError, ValueError):
-    """A frame that is not read; the text says why."""
+    """A frame between members that is rejected; the text says why."""
 
     code = "wire-member"
-    advice = "look for another fleet, another secret or another version at that address"
+    advice = "check whether that address belongs to another fleet, or has another secret or version"
 
 
 class DatagramTooLong(HookrouterError, ValueError):
-    """More than fits in one datagram; nothing was sent."""
+    """A message does not fit in one datagram; nothing was sent."""
 
     code = "wire-long"
-    advice = "report the line: a part of the program has said more than it may"
+    advice = "report the message: a component exceeded its size limit"
 
 
 class DutyLost(HookrouterError):
-    """The duty for which it was asked is another's now; whether it was done is not known."""
+    """Another process owns the duty now; whether the request was carried out is unknown."""
 
     code = "duty-lost"
-    advice = "ask again: whoever owns the duty now knows what was done"
+    advice = "ask again: the current owner of the duty knows what was done"
 
 
 class UnusableList(HookrouterError, ValueError):
-    """A list that a neighbour lent and that cannot be used; the text says why."""
+    """A list received from a neighbour that cannot be used; the text says why."""
 
     code = "wire-list"
-    advice = "none is needed: the list was put aside, the others' are used; if it goes on, restart its lender"
+    advice = "none needed: the list is ignored, those of others are used; if it persists, restart its sender"
 
 
 class InvalidTicket(HookrouterError, ValueError):
-    """No ticket that a gateway of this secret wrote for this name; its bearer counts as one without."""
+    """A ticket that no gateway with this secret wrote for this name; its bearer is treated as having none."""
 
     code = "wire-ticket"
-    advice = "give all gateways of a place one secret; where one name alone shows it, look at that follower"
+    advice = (
+        "give all gateways of a location the same secret; if only one name is affected, check that follower"
+    )
