--- a/hookrouter/adapter/codec.py
+++ b/hookrouter/adapter/codec.py
@@ -4,15 +4,15 @@
 from ..terms import (
     UNITS_PER_MS,
     Malformed,
+    ceil_units,
+    excerpt,
     floor_units,
-    read_flag,
     read_array,
+    read_choice,
+    read_flag,
+    read_integer,
     read_number,
-    excerpt,
     read_text,
-    ceil_units,
-    read_integer,
-    read_choice,
 )
 
 ENDS = {
--- a/hookrouter/command/fleet/records.py
+++ b/hookrouter/command/fleet/records.py
@@ -3,7 +3,7 @@
 import json
 import os
 
-from ...errors.commands import CopiesDiffer, FleetRefused, UsageError, KeepersUnreachable
+from ...errors.commands import CopiesDiffer, FleetRefused, KeepersUnreachable, UsageError
 from ...errors.site import MissingSection
 from ...errors.stores import DamagedStore, LockedStore, UnusableStore
 from .. import FAILED, sections_of, site_option
--- a/hookrouter/command/purges/submitting.py
+++ b/hookrouter/command/purges/submitting.py
@@ -10,7 +10,7 @@
 
 import click
 
-from ...errors.commands import InvalidInput, FileUnavailable, UsageError, PurgeNotInEffect
+from ...errors.commands import FileUnavailable, InvalidInput, PurgeNotInEffect, UsageError
 from .. import sections_of, site_option
 from . import purges
 from .calls import Desk, good
--- a/hookrouter/control/router.py
+++ b/hookrouter/control/router.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from .. import interface
-from ..tables.router_state import RouterState, PendingLookup
+from ..tables.router_state import PendingLookup, RouterState
 from . import cold, copies, health, learning, placing, purges, rules, times, windows
 from .lookups import ARRIVED, DUE, FAILED, NEW, OVERRUN, SETTLED, Lookups
 
--- a/hookrouter/decisions/owners/duties.py
+++ b/hookrouter/decisions/owners/duties.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ...tables.hash_chain import INITIAL_HASH, HASH_BYTES, chained_hash
+from ...tables.hash_chain import HASH_BYTES, INITIAL_HASH, chained_hash
 
 DECLARE, GRANT, DROP, DONE = "declare", "grant", "drop", "done"
 # Of a duty that keeps an order of records: an owner begins, appends, notes names, and folds what is too old.
--- a/hookrouter/feed/events.py
+++ b/hookrouter/feed/events.py
@@ -3,8 +3,7 @@
 import json
 from typing import NamedTuple
 
-from .. import interface
-from .. import terms
+from .. import interface, terms
 from ..terms import Malformed
 
 PHASES = {"active": interface.READY, "leaving": interface.DRAINING, "left": interface.GONE}
--- a/hookrouter/fleet/member/records.py
+++ b/hookrouter/fleet/member/records.py
@@ -14,7 +14,7 @@
 from ...decisions.replicas import copy as c
 from ...desk.local_store import SEALED_AT_ONCE, replayed
 from ...desk.sealing import SealingLoop
-from ...errors.stores import DamagedStore, CopyDiffers
+from ...errors.stores import CopyDiffers, DamagedStore
 from ...stores import PurgeLog, UnusableStore
 
 DUTY = "purges"
--- a/hookrouter/node/router.py
+++ b/hookrouter/node/router.py
@@ -12,8 +12,8 @@
 from ..feed import Feed
 from ..feed.events import Listed
 from ..front import Front
-from ..tables.deadlines import Deadlines
 from ..tables.body_memory import BodyMemory
+from ..tables.deadlines import Deadlines
 from ..tables.slots import Slots
 from ..terms import SECOND
 from .counters import held
--- a/hookrouter/node/start.py
+++ b/hookrouter/node/start.py
@@ -3,8 +3,7 @@
 import json
 from typing import NamedTuple
 
-from .. import interface
-from .. import terms
+from .. import interface, terms
 from ..feed import read_known
 from ..feed.events import read_address
 from ..terms import Malformed
--- a/hookrouter/trace/rows.py
+++ b/hookrouter/trace/rows.py
@@ -10,8 +10,7 @@
 
 import msgspec
 
-from .. import __version__
-from .. import interface
+from .. import __version__, interface
 from ..errors.stores import UnreadableTrace
 from ..terms import SECOND
 
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -8,8 +8,8 @@
 from hookrouter import interface
 from hookrouter.caches import Caches, Errand
 from hookrouter.control.rules import Rules
-from hookrouter.tables.deadlines import Deadlines
 from hookrouter.tables.body_memory import BodyMemory
+from hookrouter.tables.deadlines import Deadlines
 
 PLAIN = Errand("clip", "9b1f", "7f3a", 3, None, None, b"", 900 * MS)
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -5,8 +5,8 @@
 
 from hookrouter.front import Front, Listener
 from hookrouter.parsers import thrift
-from hookrouter.tables.deadlines import Deadlines
 from hookrouter.tables.body_memory import BodyMemory
+from hookrouter.tables.deadlines import Deadlines
 
 
 def thrift_call(seqid, name, kind):
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -5,8 +5,8 @@
 import pytest
 from twisted.internet.task import Clock
 
-from hookrouter.tables.deadlines import Deadlines
 from hookrouter.tables.body_memory import BodyMemory
+from hookrouter.tables.deadlines import Deadlines
 from hookrouter.tables.slots import Slots
 
 
