--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""What a person is told: each kind has its code and advice, the page lists all, no command shows a stack trace."""
+"""Error reports: each class has a code and advice, the page lists all, no command prints a traceback."""
 
 import json
 import os
@@ -34,7 +34,7 @@
     )
 
 
-def test_the_old_names_are_the_new_kinds_and_the_same_errors_as_before():
+def test_the_modules_names_of_errors_are_the_listed_classes_and_stay_value_errors():
     from hookrouter import site
     from hookrouter.feed import events
     from hookrouter.fleet.member import asker
@@ -67,7 +67,7 @@
 
 
 class Place:
-    """Files of every bad sort, and an address that is taken."""
+    """Invalid files of each kind, and an address that is in use."""
 
     def __init__(self, folder):
         self.folder = folder
@@ -153,7 +153,7 @@
         ("trace-empty", "trace account empty"),
     ],
 )
-def test_every_fault_of_what_a_command_is_given_is_one_line_that_says_what_to_do(
+def test_each_invalid_input_of_a_command_is_reported_in_one_line_with_advice(
     place, capsys, monkeypatch, code, words
 ):
     monkeypatch.chdir(place.folder)
@@ -176,7 +176,7 @@
     )
 
 
-def test_what_no_kind_names_is_one_line_too(capsys, monkeypatch):
+def test_an_error_without_a_class_is_reported_in_one_line(capsys, monkeypatch):
     from hookrouter import command
 
     monkeypatch.setattr(
@@ -187,7 +187,7 @@
     )
 
 
-def test_a_store_that_another_process_holds_says_so(tmp_path, capsys):
+def test_a_store_locked_by_another_process_is_reported_as_such(tmp_path, capsys):
     path = str(tmp_path / "held.db")
     log = PurgeLog(path)
     assert main(["purges", "verify", "--store", path]) == 1
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -1,4 +1,4 @@
-"""Slots, deadlines and the room for bodies."""
+"""Slots, deadlines and the memory for bodies."""
 
 from random import Random
 
@@ -10,7 +10,7 @@
 from hookrouter.tables.slots import Slots
 
 
-def test_a_number_never_meets_the_next_owner_of_its_slot():
+def test_a_number_given_back_never_finds_the_next_value_of_its_slot():
     slots = Slots(2)
     first, second = slots.take("a"), slots.take("b")
     assert slots.take("c") is None and len(slots) == 2
@@ -23,24 +23,24 @@
         slots.give_back(first)
 
 
-def test_random_takes_and_returns_agree_with_a_plain_table():
-    dice, slots, plain, past = Random(6), Slots(10), {}, []
+def test_random_takes_and_returns_agree_with_a_dict():
+    random, slots, expected, given_back = Random(6), Slots(10), {}, []
     for n in range(3000):
-        if plain and dice.random() < 0.5:
-            number = dice.choice(sorted(plain))
+        if expected and random.random() < 0.5:
+            number = random.choice(sorted(expected))
             slots.give_back(number)
-            del plain[number]
-            past.append(number)
+            del expected[number]
+            given_back.append(number)
         else:
             number = slots.take(n)
-            assert (number is None) == (len(plain) == 10) and number not in past
+            assert (number is None) == (len(expected) == 10) and number not in given_back
             if number is not None:
-                plain[number] = n
-        assert len(slots) == len(plain) and sorted(slots.occupied()) == sorted(plain.values())
-    assert all(slots.get(number) is None for number in past)
+                expected[number] = n
+        assert len(slots) == len(expected) and sorted(slots.occupied()) == sorted(expected.values())
+    assert all(slots.get(number) is None for number in given_back)
 
 
-def test_deadlines_come_in_order_by_one_timer():
+def test_deadlines_fire_in_order_with_one_timer():
     clock, seen = Clock(), []
     deadlines = Deadlines(clock)
     entries = [deadlines.after(after, seen.append, after) for after in (3, 1, 2, 1.5)]
@@ -53,7 +53,7 @@
     assert len(deadlines) == 0
 
 
-def test_a_deadline_may_set_and_drop_others_and_an_error_stops_none():
+def test_a_call_may_set_and_drop_deadlines_and_its_error_stops_no_other():
     clock, seen = Clock(), []
     deadlines = Deadlines(clock)
     later = deadlines.after(1, seen.append, "dropped")
@@ -71,7 +71,7 @@
     assert seen == ["at once", "last"]
 
 
-def test_dropped_deadlines_do_not_pile_up():
+def test_dropped_deadlines_are_removed_from_the_heap():
     deadlines = Deadlines(Clock())
     for _ in range(10_000):
         deadlines.drop(deadlines.after(1000, print))
@@ -86,15 +86,15 @@
         self.resumed += 1
 
 
-def test_a_full_room_wakes_its_readers_once_there_is_place():
-    filled, reader, gone = [], Reader(), Reader()
-    room = BodyMemory(100, lambda: filled.append(True))
-    room.take(150)
-    assert room.full()
-    room.wait(reader)
-    room.wait(gone)
-    room.leave(gone)
-    room.give_back(20)
+def test_full_body_memory_resumes_its_readers_once_there_is_room():
+    full, reader, left = [], Reader(), Reader()
+    memory = BodyMemory(100, lambda: full.append(True))
+    memory.take(150)
+    assert memory.full()
+    memory.wait(reader)
+    memory.wait(left)
+    memory.leave(left)
+    memory.give_back(20)
     assert reader.resumed == 0
-    room.give_back(80)
-    assert (reader.resumed, gone.resumed, len(filled)) == (1, 0, 1) and not room.full()
+    memory.give_back(80)
+    assert (reader.resumed, left.resumed, len(full)) == (1, 0, 1) and not memory.full()
