--- a/benchmarks/replicas/store.py
+++ b/benchmarks/replicas/store.py
@@ -28,7 +28,7 @@
         return c.Store(self.floor + len(self.rows), self.seals[-1], self.floor, self.index)
 
     def take(self, steps, index):
-        """A new store with all of it done, or Differs."""
+        """A new store with all of it done, or CopyDiffers."""
         new = self.copied()
         for command, *fields in steps:
             getattr(new, f"_{command}")(*fields)
--- a/hookrouter/fleet/member/sharing.py
+++ b/hookrouter/fleet/member/sharing.py
@@ -54,7 +54,7 @@
         self.subscribers[topic] = heard
 
     def post(self, name, topic, data):
-        """Whether it was sent; it may be lost on its way. TooLong: over 900 bytes."""
+        """Whether it was sent; it may be lost on its way. DatagramTooLong: over 900 bytes."""
         if len(data) > MOST_DATA:
             raise DatagramTooLong(f"{len(data)} bytes of {topic}, {MOST_DATA} at most")
         return self._post(name, topic, data)
--- a/hookrouter/site/file.py
+++ b/hookrouter/site/file.py
@@ -99,7 +99,7 @@
 
 
 def read_value(key: Key, text: str | None, folder: str) -> object:
-    """The value of one key, its default where it is not given; raises Wrong."""
+    """The value of one key, its default where it is not given; raises InvalidValue."""
     if text is not None:
         return key.read(text.strip(), folder)
     if key.default is WANTED:
--- a/hookrouter/site/values.py
+++ b/hookrouter/site/values.py
@@ -1,4 +1,4 @@
-"""Readers of the values in the operator's file: from text to the program's units, or Wrong."""
+"""Readers of the values in the operator's file: from text to the program's units, or InvalidValue."""
 
 import hmac
 import os
@@ -16,7 +16,7 @@
 MOST_DESKS = 5  # as many as there are keepers
 
 Address = tuple[str, int]
-Reader = Callable[[str, str], Any]  # (text of the value, folder of the file) -> value; raises Wrong
+Reader = Callable[[str, str], Any]  # (text of the value, folder of the file) -> value; raises InvalidValue
 
 
 def amount(units: Mapping[str, int], least: int, most: int, example: str) -> Reader:
--- a/hookrouter/stores/purge_steps.py
+++ b/hookrouter/stores/purge_steps.py
@@ -23,7 +23,7 @@
         return (*(row or (floor, self._fact("floor seal"))), floor, (index.fetchone() or (0,))[0])
 
     def file_steps(self, steps, index):
-        """Steps of replicas.copy in one transaction. Differs: nothing of it was done."""
+        """Steps of replicas.copy in one transaction. CopyDiffers: nothing of it was done."""
         with transaction(self.file) as run:
             for command, *fields in steps:
                 STEPS[command](self, *fields)
--- a/hookrouter/stores/sqlite.py
+++ b/hookrouter/stores/sqlite.py
@@ -40,7 +40,7 @@
 
 
 def fact(file, path, name):
-    """The value that a store of purges keeps under that name; Damaged where it has none."""
+    """The value that a store of purges keeps under that name; DamagedStore where it has none."""
     row = file.execute("SELECT value FROM facts WHERE name = ?", (name,)).fetchone()
     if row is None:
         raise DamagedStore(f"{path}: its {name} is missing")
