--- a/benchmarks/replicas/store.py
+++ b/benchmarks/replicas/store.py
@@ -16,7 +16,14 @@
     """What PurgeLog keeps, as a list: rows behind the floor, the seals of all, names."""
 
     def __init__(self):
-        self.floor, self.rows, self.seals, self.names, self.index, self.epoch = 0, [], [INITIAL_HASH], {}, 0, 0
+        self.floor, self.rows, self.seals, self.names, self.index, self.epoch = (
+            0,
+            [],
+            [INITIAL_HASH],
+            {},
+            0,
+            0,
+        )
 
     def copied(self):
         made = PlainStore()
--- a/hookrouter/decisions/owners/duties.py
+++ b/hookrouter/decisions/owners/duties.py
@@ -171,7 +171,9 @@
         order = self.orders.setdefault(name, Order())
         if order.newest:
             return ["begun", order.newest]
-        if not (0 < newest and 0 <= epoch < MOST_EPOCH and isinstance(seal, bytes) and len(seal) == HASH_BYTES):
+        if not (
+            0 < newest and 0 <= epoch < MOST_EPOCH and isinstance(seal, bytes) and len(seal) == HASH_BYTES
+        ):
             return ["malformed"]
         order.epoch, order.newest, order.seal = max(order.epoch, epoch), newest, seal
         self.records.append(Record(name, ADOPT, (order.epoch, newest, seal)))
--- a/hookrouter/stores/purge_log.py
+++ b/hookrouter/stores/purge_log.py
@@ -99,7 +99,7 @@
     # ---- read
 
     def load(self, hold=DEFAULT_HOLD, most_sealed=MOST_SEALED):
-        """The sealed part and the rows behind it, each seal checked. DamagedStore names the first row that is not
+        """The sealed part and the rows behind it, seals checked. DamagedStore names the first row that is not
         as it was written. hold, most_sealed: as in PurgeTerms.
         """
         try:
--- a/hookrouter/stores/purge_slices.py
+++ b/hookrouter/stores/purge_slices.py
@@ -67,7 +67,7 @@
         return self._fact(SEALED), self._fact(SEALED_SEAL)
 
     def read(self, hold: int, most_sealed: int) -> SealedPart:
-        """All of it; DamagedStore names what is not as it was written. hold, most_sealed: as in PurgeTerms."""
+        """All of it; DamagedStore names what was corrupted. hold, most_sealed: as in PurgeTerms."""
         n, _ = self.reached()
         if self._digest() != self._fact(SEALED_DIGEST):
             raise DamagedStore(f"{self._path}: its sealed purges, up to {n}, are not as they were written")
