--- a/hookrouter/desk/local_store.py
+++ b/hookrouter/desk/local_store.py
@@ -41,7 +41,7 @@
 class LocalStore:
     """What keeps a desk's order; where the fleet's log does, fleet/member/purges.py stands in its place.
 
-    Each Deferred fires once what was asked is on disk; it fails with sqlite3.Error, or UnusableStore on reopen.
+    Each Deferred fires once what was asked is on disk; fails with sqlite3.Error, or UnusableStore on reopen.
     """
 
     def __init__(self, reactor: IReactorThreads, path: str, purges: Mapping[str, Any]) -> None:
@@ -53,7 +53,7 @@
         self.pool.start()
 
     def read(self, least: int) -> Read:
-        """All of it under a new epoch, not below least; blocks. UnusableStore names the file and what is wrong."""
+        """All of it under a new epoch, not below least; blocks. UnusableStore names the file and the fault."""
         self.store = PurgeLog(self.path)
         try:
             loaded = self.store.load(self.terms.hold, self.terms.most_sealed)
--- a/hookrouter/stores/trace_log.py
+++ b/hookrouter/stores/trace_log.py
@@ -61,7 +61,7 @@
 
 
 def lines(path):
-    """Each whole line of a segment; TruncatedTrace at its end where it is torn or damaged, with what is wrong."""
+    """Each whole line of a segment; TruncatedTrace where it is torn or damaged, with what is wrong."""
     rest = b""
     with open(path, "rb") as file:
         reader = zstandard.ZstdDecompressor().stream_reader(file, read_across_frames=True)
