--- a/hookrouter/desk/local_store.py
+++ b/hookrouter/desk/local_store.py
@@ -53,7 +53,7 @@
         self.pool.start()
 
     def read(self, least: int) -> Read:
-        """All of it under a new epoch, not below least; blocks. UnusableStore names the file and the fault."""
+        """All of it under a new epoch, at least least; blocks. UnusableStore names the file and the fault."""
         self.store = PurgeLog(self.path)
         try:
             loaded = self.store.load(self.terms.hold, self.terms.most_sealed)
--- a/hookrouter/interface.py
+++ b/hookrouter/interface.py
@@ -124,7 +124,7 @@
     weight: float
     born: int  # time of its last start; 0: long ago
     phase: str
-    sort: str
+    machine_type: str
 
 
 # ---- inputs
