--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -150,7 +150,7 @@
             for send in sends(fleet[r].decide(now, events)):
                 for name in {send.cache, getattr(send, "source", None)} & weighed.keys():
                     weighed[name].append((now, WORK))  # by the mean of its kind, as the rule counts
-                turn = fleet[r].held[send.id].sends - 1
+                turn = fleet[r].pending_lookups[send.id].send_count - 1
                 tries += turn > 0
                 word = dice.choice(ENDS) if send.cache in weighed else interface.SATISFIED
                 end = ended(
