--- a/tests/test_purge_store.py
+++ b/tests/test_purge_store.py
@@ -131,7 +131,7 @@
     log = PurgeLog(path)
     with pytest.raises(DamagedStore, match=said) as found:
         log.load()
-    assert found.value.n == n
+    assert found.value.first_bad == n
     assert any(said in line for line in log.verify()[1])
     log.close()
 
