--- a/benchmarks/admission/gateway.py
+++ b/benchmarks/admission/gateway.py
@@ -1,13 +1,13 @@
 """A gateway of the made-up fleet: connections, the gate (or none), what its reactor has to do for each."""
 
-from hookrouter.decisions.admission import Come, Terms, tickets
-from hookrouter.decisions.admission import words as w
-from hookrouter.decisions.admission.overflow import Overflow, Queue
+from hookrouter.decisions.admission import Arrival, Terms, tickets
+from hookrouter.decisions.admission import messages
+from hookrouter.decisions.admission.overflow import Overflow, NeighbourQueue
 
 KNOCK, SHUT, RENEW = 3, 1, 1  # 0.3 ms for a call that is answered, 0.1 ms to close one, 0.1 ms for a renewal
 TICK = 100  # 10 ms
 BEAT = 5_000  # 0.5 s
-KEY = tickets.key_of(b"made-up secret of the world")
+KEY = tickets.derive_key(b"made-up secret of the world")
 
 
 class Conn:
@@ -56,10 +56,10 @@
     def _tick(self, life):
         if life == self.life and self.up:
             now = self.world.engine.now
-            self.overflow.heard(
+            self.overflow.update(
                 now,
                 [
-                    Queue(other.name, *other.gate.load(), 0)
+                    NeighbourQueue(other.name, *other.gate.load(), 0)
                     for other in self.world.gateways
                     if other.up and other is not self and self.world.queues_told()
                 ],
@@ -70,7 +70,7 @@
     def _wake(self, life):
         if life == self.life and self.up:
             self.woken = None
-            self._carry(self.gate.pump(self.world.engine.now))
+            self._carry(self.gate.admit_next(self.world.engine.now))
 
     def _beat(self, life):
         if life == self.life and self.up:
@@ -93,35 +93,35 @@
         if conn.admitted or not self.up:
             return
         self.world.judge.asked(self, conn, left, ticket)
-        conn.how = w.TAIL if self.world.order.resumes(n) else w.SNAPSHOT
+        conn.how = messages.TAIL if self.world.order.resumes(n) else messages.SNAPSHOT
         conn.begun = n
         if self.gate is None:
             self._admit(conn)
             return
         self._carry(
-            self.gate.comes(self.world.engine.now, Come(conn.id, conn.sub.name, conn.how, left, ticket))
+            self.gate.arrived(self.world.engine.now, Arrival(conn.id, conn.sub.name, conn.how, left, ticket))
         )
 
     def _carry(self, effects):
         for effect in effects:
             conn = self.conns.get(effect.conn)
-            if isinstance(effect, w.Admit):
+            if isinstance(effect, messages.Admit):
                 self.world.saw_admit(self, effect)
                 if conn is None or not conn.open:
-                    self._carry(self.gate.gone(self.world.engine.now, effect.conn))
+                    self._carry(self.gate.disconnected(self.world.engine.now, effect.conn))
                 else:
-                    self._admit(conn, effect.how)
-            elif conn is not None and isinstance(effect, w.Tell):
+                    self._admit(conn, effect.transfer)
+            elif conn is not None and isinstance(effect, messages.Defer):
                 self.world.saw_tell(self, effect, conn)
                 self.world.down(
-                    conn, "told", effect.wait, effect.ticket, effect.late, effect.fleet, effect.elsewhere
+                    conn, "told", effect.wait, effect.ticket, effect.late, effect.fleet_size, effect.elsewhere
                 )
                 self._forget(conn)
             elif conn is not None:
                 self.reactor.add(SHUT, lambda: None)
                 self.world.down(conn, "reset")
                 self._forget(conn)
-        wake = None if self.gate is None else self.gate.wake(self.world.engine.now)
+        wake = None if self.gate is None else self.gate.next_wake(self.world.engine.now)
         if wake is not None and wake != self.woken:
             self.woken = wake
             self.world.engine.after(wake - self.world.engine.now, self._wake, self.life)
@@ -132,14 +132,14 @@
         self.world.judge.over(self, conn)
 
     def _admit(self, conn, how=None):
-        truly = w.TAIL if self.world.order.resumes(conn.begun) else w.SNAPSHOT
+        truly = messages.TAIL if self.world.order.resumes(conn.begun) else messages.SNAPSHOT
         given = truly if how is None or not self.world.trusts_arrival else how
         if self.gate is not None:
-            self.gate.began(self.world.engine.now, given)
+            self.gate.set_transfer(self.world.engine.now, given)
         conn.admitted, conn.how = True, given
         work = self.world.work_of(given)
         self.admissions.append((self.world.engine.now, work, conn.sub, given))
-        if given == w.TAIL and truly == w.SNAPSHOT:
+        if given == messages.TAIL and truly == messages.SNAPSHOT:
             self.world.judge.broke(f"{conn.sub.name} given a tail where a snapshot was needed")
         self.reactor.add(work, lambda: self._given(conn), lambda: conn.open)
 
@@ -150,14 +150,14 @@
             self.world.down(conn, "whole", self.world.order.tail.newest.n, self.world.order.epoch)
             self.world.back(conn.sub)
         if self.gate is not None:
-            self._carry(self.gate.ended(self.world.engine.now, conn.id))
+            self._carry(self.gate.completed(self.world.engine.now, conn.id))
 
     def gone(self, conn):
         """This side sees that the connection is over."""
         if conn.open:
             self._forget(conn)
             if self.gate is not None:
-                self._carry(self.gate.gone(self.world.engine.now, conn.id))
+                self._carry(self.gate.disconnected(self.world.engine.now, conn.id))
 
     def tell(self, purge):
         for conn in self.conns.values():
--- a/benchmarks/admission/judge.py
+++ b/benchmarks/admission/judge.py
@@ -1,7 +1,7 @@
 """What must hold in every made-up storm, in plain words and slow lines, judged from outside the gate."""
 
 from hookrouter.decisions.admission import tickets
-from hookrouter.decisions.admission import words as w
+from hookrouter.decisions.admission import messages
 from hookrouter.errors.wire import InvalidTicket
 
 from .gateway import KEY
@@ -30,11 +30,11 @@
         except InvalidTicket:
             ticket = None
         life = gateway.name, gateway.life
-        if ticket is not None and (ticket.gateway, ticket.life) != life:
-            mark = life, ticket.gateway, ticket.life, ticket.number
+        if ticket is not None and (ticket.gateway, ticket.incarnation) != life:
+            mark = life, ticket.gateway, ticket.incarnation, ticket.number
             if mark not in self.used:
                 self.used.add(mark)
-                former = ticket.life, ticket.turn
+                former = ticket.incarnation, ticket.turn
                 key = life, conn.sub.name
                 self.former[key] = min(former, self.former.get(key, former))
         former = self.former.get((life, conn.sub.name))
@@ -82,7 +82,7 @@
             except InvalidTicket as wrong:
                 self.broke(f"a ticket that {conn.sub.name} cannot use: {wrong}")
                 return
-            mark = ticket.gateway, ticket.life, ticket.number
+            mark = ticket.gateway, ticket.incarnation, ticket.number
             if self.places.setdefault(mark, ticket.name) != ticket.name:
                 self.broke(f"two tickets for one slot: {mark}")
         waiting = self.waiting.get(gateway, {}).get(conn.sub)
@@ -108,4 +108,4 @@
 
 def tail_share(gateways):
     rows = [row for gateway in gateways for row in gateway.admissions]
-    return sum(row[3] == w.TAIL for row in rows) / max(1, len(rows))
+    return sum(row[3] == messages.TAIL for row in rows) / max(1, len(rows))
--- a/benchmarks/admission/model.py
+++ b/benchmarks/admission/model.py
@@ -8,8 +8,8 @@
 from collections import deque
 from typing import NamedTuple
 
-from hookrouter.decisions.admission import Come, Gate, Terms, tickets
-from hookrouter.decisions.admission import words as w
+from hookrouter.decisions.admission import Arrival, Gate, Terms, tickets
+from hookrouter.decisions.admission import messages
 
 from .gateway import KEY
 
@@ -57,17 +57,17 @@
         self.subs = [Sub() for _ in range(bounds.subscribers)]
         self.net = []  # ("come", Come) to the gateway of that life; ("tell", conn, ticket) back
         self.gate, self.busy, self.slots = make(Terms("g", 1, KEY), 0, bounds.subscribers, Even()), None, {}
-        self.gate.gather = 0
+        self.gate.gather_time = 0
         self.former = {}  # name -> turn: places given by the life before, not used yet
         self.shown = set()  # names that showed it to this life
 
     def key(self):
         gate = self.gate
         rows = tuple(
-            (r.name, r.key, r.base, r.how, r.until, r.due, r.conn, r.late, r.early)
+            (r.name, r.key, r.base_key, r.transfer, r.lease_end, r.due, r.conn, r.late, r.early)
             for _, r in sorted(gate.queue.rows.items())
         )
-        flows = tuple((n, f.tokens, f.at, f.admitted) for n, f in sorted(gate.flows.items()))
+        flows = tuple((n, f.tokens, f.refilled_at, f.admitted) for n, f in sorted(gate.flows.items()))
         return (
             self.now,
             self.life,
@@ -78,12 +78,12 @@
             gate.state,
             rows,
             flows,
-            gate.busy,
+            gate.current,
             gate.free_at,
-            tuple(sorted(gate.spent)),
-            gate.number,
-            tuple(gate.costs.mean.values()),
-            tuple(sorted(gate.back)),
+            tuple(sorted(gate.used_tickets)),
+            gate.last_number,
+            tuple(gate.costs.means.values()),
+            tuple(sorted(gate.returned)),
             tuple(sorted(self.former.items())),
             tuple(sorted(self.shown)),
         )
@@ -91,9 +91,9 @@
     def carry(self, effects, came=None):
         broken = []
         for effect in effects:
-            if isinstance(effect, w.Admit):
+            if isinstance(effect, messages.Admit):
                 broken += self._admit(effect)
-            elif isinstance(effect, w.Tell):
+            elif isinstance(effect, messages.Defer):
                 name = self._name(effect.conn)
                 if effect.ticket and name is not None:
                     try:
@@ -103,8 +103,8 @@
                     except ValueError:
                         broken.append("a ticket that its bearer cannot use")
                 self.net.append(("tell", effect.conn, effect.ticket))
-            elif came is not None and effect.conn == came.conn and effect.why != "too often":
-                broken.append(f"{came.name} refused: {effect.why}")
+            elif came is not None and effect.conn == came.conn and effect.reason != "too often":
+                broken.append(f"{came.name} refused: {effect.reason}")
             else:
                 self.net.append(("tell", effect.conn, ""))
         if len(self.gate.queue) > len(self.subs):
@@ -132,7 +132,7 @@
         sub = self.subs[n]
         self.conns += 1
         self.subs[n] = sub._replace(at="asking", knocks=sub.knocks + 1, conn=self.conns)
-        self.net.append(("come", Come(self.conns, f"s{n}", w.SNAPSHOT, w.NO_LEASE, sub.ticket), self.life))
+        self.net.append(("come", Arrival(self.conns, f"s{n}", messages.SNAPSHOT, messages.NO_LEASE, sub.ticket), self.life))
         return []
 
     def arrive(self, k, twice):
@@ -145,9 +145,9 @@
                 return []
             if come.ticket:
                 ticket = tickets.read(KEY, come.ticket, come.name)
-                if ticket.life != self.life and come.name in self.former:
+                if ticket.incarnation != self.life and come.name in self.former:
                     self.shown.add(come.name)
-            return self.carry(self.gate.comes(self.now, come), come)
+            return self.carry(self.gate.arrived(self.now, come), come)
         for n, sub in enumerate(self.subs):
             if sub.conn == message[1] and sub.at == "asking":
                 self.subs[n] = sub._replace(at="away", ticket=message[2] or sub.ticket)
@@ -162,14 +162,14 @@
                 self.subs[n] = sub._replace(at="away")
         if self.busy is not None and self.busy[0] == conn:  # the other of two had been admitted
             self.busy = None
-        return self.carry(self.gate.gone(self.now, conn))
+        return self.carry(self.gate.disconnected(self.now, conn))
 
     def end(self):
         (conn, name), self.busy = self.busy, None
         n = int(name[1:].partition("/")[0])
         if self.subs[n].conn == conn:
             self.subs[n] = self.subs[n]._replace(at="in", ticket="")
-        return self.carry(self.gate.ended(self.now, conn))
+        return self.carry(self.gate.completed(self.now, conn))
 
     def wait(self):
         self.left = self.left._replace(steps=self.left.steps - 1)
@@ -180,7 +180,7 @@
         self.left = self.left._replace(restarts=self.left.restarts - 1)
         self.life += 1
         self.gate = make(Terms("g", self.life, KEY), self.now, len(self.subs), Even())
-        self.gate.gather = 0
+        self.gate.gather_time = 0
         self.busy, self.net, self.slots, self.shown = None, [], {}, set()
         self.former = {}
         for n, sub in enumerate(self.subs):
--- a/benchmarks/admission/scenes.py
+++ b/benchmarks/admission/scenes.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-from hookrouter.decisions.admission import Come, Comer, Gate, Terms, tickets
-from hookrouter.decisions.admission import comer as c
-from hookrouter.decisions.admission import words as w
-from hookrouter.decisions.admission.overflow import Overflow, Queue
+from hookrouter.decisions.admission import Arrival, Reconnector, Gate, Terms, tickets
+from hookrouter.decisions.admission import reconnect
+from hookrouter.decisions.admission import messages
+from hookrouter.decisions.admission.overflow import Overflow, NeighbourQueue
 
 from .gateway import KEY
 from .schedule import fall
@@ -26,23 +26,23 @@
         self.shut, self.due, self.tells, self.most = [], {}, 0, 0
         self.slots, self.shared = {}, []  # number of a ticket -> whose
 
-    def come(self, name, left=w.NO_LEASE, ticket=""):
+    def come(self, name, left=messages.NO_LEASE, ticket=""):
         conn = len(self.conns) + 1
         self.conns[conn] = name, self.now + left
-        self._carry(self.gate.comes(self.now, Come(conn, name, w.SNAPSHOT, left, ticket)))
+        self._carry(self.gate.arrived(self.now, Arrival(conn, name, messages.SNAPSHOT, left, ticket)))
 
     def _carry(self, effects):
         for effect in effects:
             name, until = self.conns[effect.conn]
-            if isinstance(effect, w.Admit):
+            if isinstance(effect, messages.Admit):
                 self.order.append((self.now, name))
                 self.ends.append((self.now + self.cost, effect.conn))
                 self.most = max(self.most, len(self.ends))
-            elif isinstance(effect, w.Shut):
+            elif isinstance(effect, messages.Close):
                 self.shut.append(effect.conn)
             elif name != "rude":
                 self.tells += 1
-                number = tickets._decode(bytes.fromhex(effect.ticket)[tickets.SEAL :]).number
+                number = tickets._decode(bytes.fromhex(effect.ticket)[tickets.SEAL_BYTES :]).number
                 if self.slots.setdefault(number, name) != name:
                     self.shared.append(number)
                 self.due[name] = self.now + effect.wait, until, effect.ticket
@@ -53,12 +53,12 @@
             over = [end for end in self.ends if end[0] <= self.now]
             self.ends = [end for end in self.ends if end[0] > self.now]
             for _, conn in over:
-                self._carry(self.gate.ended(self.now, conn))
+                self._carry(self.gate.completed(self.now, conn))
             self._carry(self.gate.tick(self.now))
             for name, (at, until, shown) in sorted(self.due.items()):
                 if at <= self.now:
                     del self.due[name]
-                    self.come(name, max(until - self.now, w.NO_LEASE), shown)
+                    self.come(name, max(until - self.now, messages.NO_LEASE), shown)
 
     def names(self):
         return [name for _, name in self.order]
@@ -177,25 +177,25 @@
     return found
 
 
-def not_on_one_beat(make=Comer):
+def not_on_one_beat(make=Reconnector):
     """A split heals: 400 that lost their gateway at one moment come back spread."""
     dice, knocks = Random(5), []
     for _ in range(400):
         one, at = make(dice, 400), 0
-        one.state = c.UP
-        wait = one.step(c.ENDED)
+        one.state = reconnect.UP
+        wait = one.step(reconnect.ENDED)
         while at < 2 * SECOND:
             at += wait
             knocks.append(at)
-            one.step(c.GO)
-            wait = one.step(c.NOTHING)
+            one.step(reconnect.CONNECT)
+            wait = one.step(reconnect.NO_ANSWER)
     most = max(sum(a <= at < a + 200 for at in knocks) for a in range(0, SECOND, 100))
     return [f"{most} of 400 within 20 ms"] if most > 120 else []
 
 
 def overflow_within_room(make=Overflow):
     there = make("g")
-    there.heard(0, [Queue("h", 0, 10, 100.0, 0), Queue("old", 0, 1_000, 100.0, 60_000)])
+    there.update(0, [NeighbourQueue("h", 0, 10, 100.0, 0), NeighbourQueue("old", 0, 1_000, 100.0, 60_000)])
     sent = [there.pick(10, 500, 50.0) for _ in range(200)]
     return [] if sent.count("h") == 10 and sent.count("old") == 0 else [f"{sent.count('h')} sent for 10"]
 
@@ -249,7 +249,7 @@
     base = mistake or Gate
     if issubclass(base, Gate):
         yield from ((scene.__name__, scene(base)) for scene in GATE)
-    if mistake is None or issubclass(base, Comer):
-        yield not_on_one_beat.__name__, not_on_one_beat(mistake or Comer)
+    if mistake is None or issubclass(base, Reconnector):
+        yield not_on_one_beat.__name__, not_on_one_beat(mistake or Reconnector)
     if mistake is None or issubclass(base, Overflow):
         yield overflow_within_room.__name__, overflow_within_room(mistake or Overflow)
--- a/benchmarks/admission/schedule.py
+++ b/benchmarks/admission/schedule.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from hookrouter.decisions.admission import Comer, Gate
+from hookrouter.decisions.admission import Reconnector, Gate
 
 from .world import SECOND, Faults, World
 
@@ -24,7 +24,7 @@
     )
 
 
-def play(seed, make_gate=Gate, make_comer=Comer, trusts_arrival=False):
+def play(seed, make_gate=Gate, make_comer=Reconnector, trusts_arrival=False):
     """The World after the schedule of that seed; its judge has the breaks."""
     dice = Random(seed)
     gateways = dice.choice((1, 1, 2))
--- a/benchmarks/admission/subscriber.py
+++ b/benchmarks/admission/subscriber.py
@@ -1,6 +1,6 @@
 """A subscriber of the made-up fleet: a place in the order, a lease, and its way back."""
 
-from hookrouter.decisions.admission import comer as c
+from hookrouter.decisions.admission import reconnect
 from hookrouter.purges.fence import CURRENT, Fence
 
 from .gateway import RENEW, Conn
@@ -20,9 +20,9 @@
         self.pause = FIRST
 
     def step(self, word, *told):
-        if word == c.CAME:
+        if word == reconnect.ADMITTED:
             self.pause = FIRST
-        elif word in (c.NOTHING, c.TELL, c.ENDED):
+        elif word in (reconnect.NO_ANSWER, reconnect.DEFERRED, reconnect.ENDED):
             pause, self.pause = self.pause, min(LONGEST, 2 * self.pause)
             return pause
         return None
@@ -35,9 +35,9 @@
         self.dice, self.pause = dice, JITTER_BASE
 
     def step(self, word, *told):
-        if word == c.CAME:
+        if word == reconnect.ADMITTED:
             self.pause = JITTER_BASE
-        elif word in (c.NOTHING, c.TELL, c.ENDED):
+        elif word in (reconnect.NO_ANSWER, reconnect.DEFERRED, reconnect.ENDED):
             cap, self.pause = self.pause, min(JITTER_CAP, 2 * self.pause)
             return int(self.dice.uniform(0, cap))
         return None
@@ -59,7 +59,7 @@
 
     # ---- the way back
 
-    def lost(self, word=c.ENDED):
+    def lost(self, word=reconnect.ENDED):
         if self.conn is not None:
             self.conn = None
         wait = self.comer.step(word)
@@ -73,7 +73,7 @@
         if self.paused():
             world.engine.after(self.paused_until - world.engine.now, self._go, tries)
             return
-        self.comer.step(c.GO)
+        self.comer.step(reconnect.CONNECT)
         world.knocks += 1
         self.conn = conn = Conn(world.knocks, self)
         self.fence.at(self.clock())
@@ -98,7 +98,7 @@
         if self.nothing % 3 == 0:  # elsewhere, with the same ticket
             at = self.world.gateways.index(self.gateway) + 1
             self.gateway = self.world.gateways[at % len(self.world.gateways)]
-        self.lost(c.ENDED if conn.streaming else c.NOTHING)
+        self.lost(reconnect.ENDED if conn.streaming else reconnect.NO_ANSWER)
 
     def paused(self):
         return self.world.engine.now < self.paused_until
@@ -119,7 +119,7 @@
         elif word == "whole":
             self.n, self.epoch = args
             self.nothing = 0
-            self.comer.step(c.CAME)
+            self.comer.step(reconnect.ADMITTED)
             self.renew_soon()
         elif word == "purge":
             if args[0] == self.n + 1:
@@ -132,12 +132,12 @@
 
     def _cut(self, conn):
         self.world.engine.after(self.world.delay(), self.gateway.gone, conn)
-        self.lost(c.ENDED)
+        self.lost(reconnect.ENDED)
 
     def _told(self, wait, ticket, late, fleet, elsewhere):
         self.conn, self.nothing = None, 0
         self.tries += 1
-        wait = self.comer.step(c.TELL, wait, ticket, late, fleet)
+        wait = self.comer.step(reconnect.DEFERRED, wait, ticket, late, fleet)
         if elsewhere and self.polite:
             self.gateway = next(g for g in self.world.gateways if g.name == elsewhere)
             wait = min(wait or 0, 500)
--- a/benchmarks/admission/world.py
+++ b/benchmarks/admission/world.py
@@ -5,8 +5,8 @@
 from random import Random
 from typing import NamedTuple
 
-from hookrouter.decisions.admission import Comer, Gate
-from hookrouter.decisions.admission import words as w
+from hookrouter.decisions.admission import Reconnector, Gate
+from hookrouter.decisions.admission import messages
 from hookrouter.lab.engine import Engine
 
 from .gateway import Gateway
@@ -45,7 +45,7 @@
         cost=(20, 200),
         faults=None,
         make_gate=Gate,
-        make_comer=Comer,
+        make_comer=Reconnector,
         trusts_arrival=False,
     ):
         """way: gate, naive or jitter. snapshots: share that needs one. cost: of tail and snapshot."""
@@ -75,7 +75,7 @@
         return self.dice.randint(3, 15)
 
     def work_of(self, how):
-        return int(self.cost[how == w.SNAPSHOT] * self.dice.uniform(0.7, 1.3))
+        return int(self.cost[how == messages.SNAPSHOT] * self.dice.uniform(0.7, 1.3))
 
     def lost_message(self):
         return self.dice.random() < self.faults.loss
--- a/hookrouter/decisions/admission/__init__.py
+++ b/hookrouter/decisions/admission/__init__.py
@@ -1,6 +1,6 @@
 """Storms of returns: who is admitted when at a gateway that all come back to, and how each one comes."""
 
-from .comer import Comer as Comer
+from .reconnect import Reconnector as Reconnector
 from .gate import Gate as Gate
-from .words import Come as Come
-from .words import Terms as Terms
+from .messages import Arrival as Arrival
+from .messages import Terms as Terms
--- a/hookrouter/decisions/admission/words.py
+++ b/hookrouter/decisions/admission/messages.py
@@ -14,19 +14,19 @@
     """
 
     name: str
-    life: int
-    key: bytes
+    incarnation: int
+    seal_key: bytes
     share: float = 0.95
-    most: int = 10_000  # comers known at a time; beyond it one is told to wait and keeps no place
+    max_waiting: int = 10_000  # comers known at a time; beyond it one is told to wait and keeps no place
 
 
-class Come(NamedTuple):
+class Arrival(NamedTuple):
     """conn: names the connection; name: the flow; left: of its lease, NO_LEASE without; ticket: its text."""
 
     conn: int
     name: str
-    how: str
-    left: int = NO_LEASE
+    transfer: str
+    lease_left: int = NO_LEASE
     ticket: str = ""
 
 
@@ -38,10 +38,10 @@
 
     conn: int
     name: str
-    how: str
+    transfer: str
 
 
-class Tell(NamedTuple):
+class Defer(NamedTuple):
     """Come back after wait with this ticket (none where there is no place). late: its lease will be over by
     then, so it fences itself meanwhile. fleet: how many hang on this gateway. elsewhere: a gateway with room.
     """
@@ -50,12 +50,12 @@
     wait: int
     ticket: str
     late: bool
-    fleet: int
+    fleet_size: int
     elsewhere: str = ""
 
 
-class Shut(NamedTuple):
+class Close(NamedTuple):
     """The connection is closed without a word."""
 
     conn: int
-    why: str
+    reason: str
--- a/hookrouter/decisions/admission/queue.py
+++ b/hookrouter/decisions/admission/queue.py
@@ -7,19 +7,19 @@
 
 from bisect import bisect_left, insort
 
-from . import words as w
+from . import messages
 
 URGENT, FORMER, NEW = 0, 1, 2
 NEVER = 1 << 60
 
 
 class Row:
-    __slots__ = ("name", "key", "base", "number", "how", "until", "due", "conn", "since", "late", "early")
+    __slots__ = ("name", "key", "base_key", "number", "transfer", "lease_end", "due", "conn", "arrived_at", "late", "early")
 
-    def __init__(self, name, key, number, how, until, now):
-        self.name, self.key, self.number, self.how, self.until = name, key, number, how, until
-        self.base = key  # its place if no lease has to be kept
-        self.due, self.conn, self.since, self.late = now, None, now, False  # due: when it is to come
+    def __init__(self, name, key, number, transfer, lease_end, now):
+        self.name, self.key, self.number, self.transfer, self.lease_end = name, key, number, transfer, lease_end
+        self.base_key = key  # its place if no lease has to be kept
+        self.due, self.conn, self.arrived_at, self.late = now, None, now, False  # due: when it is to come
         self.early = False  # came before it was told to
 
 
@@ -29,7 +29,7 @@
     def __init__(self):
         self.rows, self.order, self.present = {}, [], []  # order, present: sorted keys
         self.by_key, self.by_conn = {}, {}
-        self.counts = {w.TAIL: 0, w.SNAPSHOT: 0}
+        self.counts = {messages.TAIL: 0, messages.SNAPSHOT: 0}
 
     def __len__(self):
         return len(self.rows)
@@ -37,29 +37,29 @@
     def add(self, row):
         self.rows[row.name] = self.by_key[row.key] = row
         insort(self.order, row.key)
-        self.counts[row.how] += 1
+        self.counts[row.transfer] += 1
 
-    def drop(self, row):
-        self.leaves(row)
+    def remove(self, row):
+        self.detach(row)
         del self.rows[row.name], self.by_key[row.key]
         del self.order[bisect_left(self.order, row.key)]
-        self.counts[row.how] -= 1
+        self.counts[row.transfer] -= 1
 
-    def again(self, row, key, how):
+    def move(self, row, key, transfer):
         """The same row at another place."""
         conn = row.conn
-        self.drop(row)
-        row.key, row.how = key, how
+        self.remove(row)
+        row.key, row.transfer = key, transfer
         self.add(row)
         if conn is not None:
-            self.comes(row, conn)
+            self.attach(row, conn)
 
-    def comes(self, row, conn):
+    def attach(self, row, conn):
         row.conn = conn
         self.by_conn[conn] = row
         insort(self.present, row.key)
 
-    def leaves(self, row):
+    def detach(self, row):
         if row.conn is not None:
             del self.by_conn[row.conn]
             row.conn = None
@@ -69,6 +69,6 @@
         """How many are before it."""
         return bisect_left(self.order, key)
 
-    def first(self):
+    def first_present(self):
         """Of those that are there."""
         return self.by_key[self.present[0]] if self.present else None
--- a/hookrouter/desk/admission.py
+++ b/hookrouter/desk/admission.py
@@ -14,8 +14,8 @@
 from twisted.internet.interfaces import IReactorTime
 from twisted.web import server
 
-from ..decisions.admission import Come, Gate, Terms, tickets
-from ..decisions.admission import words as w
+from ..decisions.admission import Arrival, Gate, Terms, tickets
+from ..decisions.admission import messages
 from ..feed.purges import steady
 from ..log import Log
 from ..purges import tail as t
@@ -50,7 +50,7 @@
         """publisher: the Desk or Relay; its followers are those that will come. elsewhere: see Gate."""
         section = sections["admission"]
         secret = section["secret"] or sections["purges"]["secret"]
-        terms = Terms(name, int(time.time() * 1_000), tickets.key_of(secret.value), section["share"] / 100)
+        terms = Terms(name, int(time.time() * 1_000), tickets.derive_key(secret.value), section["share"] / 100)
         self.reactor, self.log, self.publisher = reactor, log, publisher
         known = len(publisher.followers.rows)
         self.gate = Gate(terms, steady(), known, Random(), elsewhere)
@@ -82,25 +82,25 @@
             return answer(request, 409, {"error": "come again"}, Retry_After=1)
         name = (request.getHeader(b"x-member") or request.getClientAddress().host.encode()).decode("latin-1")
         left = request.getHeader(b"x-lease")
-        left = w.NO_LEASE if left is None else wire.read_whole(left.decode("latin-1"), "X-Lease")
+        left = messages.NO_LEASE if left is None else wire.read_whole(left.decode("latin-1"), "X-Lease")
         ticket = (request.getHeader(b"x-ticket") or b"").decode("latin-1")
         self.last += 1
         conn = self.last
         self.conns[conn] = Waiting(request, asked)
         request.notifyFinish().addBoth(lambda _: self._gone(conn))
         how = self._how(asked)
-        self._carry(self.gate.comes(steady(), Come(conn, name[:64], how, left, ticket)))
+        self._carry(self.gate.arrived(steady(), Arrival(conn, name[:64], how, left, ticket)))
         return server.NOT_DONE_YET
 
     def _how(self, asked: FollowRequest) -> str:
         """By what it costs: a long tail is no cheaper than a snapshot."""
         tail = self.publisher.tail
         short = tail.newest.n - asked.position.n <= SHORT
-        return w.TAIL if short and tail.place(asked.position, asked.seen) == t.RESUME else w.SNAPSHOT
+        return messages.TAIL if short and tail.place(asked.position, asked.seen) == t.RESUME else messages.SNAPSHOT
 
     def _gone(self, conn: int) -> None:
         if self.conns.pop(conn, None) is not None:
-            self._carry(self.gate.gone(steady(), conn))
+            self._carry(self.gate.disconnected(steady(), conn))
 
     # ---- what is done
 
@@ -108,10 +108,10 @@
         for effect in effects:
             waiting = self.conns.get(effect.conn)
             if waiting is None:
-                self._later(self.gate.gone, effect.conn)
-            elif isinstance(effect, w.Admit):
+                self._later(self.gate.disconnected, effect.conn)
+            elif isinstance(effect, messages.Admit):
                 self._admit(effect.conn, waiting)
-            elif isinstance(effect, w.Tell):
+            elif isinstance(effect, messages.Defer):
                 del self.conns[effect.conn]
                 self._turn_away(waiting.request, effect)
             else:
@@ -119,10 +119,10 @@
                 self.publisher.count("followers_shut")
                 waiting.request.channel.forceAbortClient()
         now = steady()
-        due = self.gate.wake(now)
+        due = self.gate.next_wake(now)
         if due is not None and (self.wake is None or not self.wake.active()):
             self.wake = self.reactor.callLater((due - now) / SECOND, self._wake)
-        if self.call is None and not self.gate.settled():
+        if self.call is None and not self.gate.is_idle():
             self._look_in(TICK)
         if self.state != self.gate.state:
             before, self.state = self.state, self.gate.state
@@ -134,26 +134,26 @@
 
     def _admit(self, conn: int, waiting: Waiting) -> None:
         publisher, now = self.publisher, steady()
-        self.gate.began(now, self._how(waiting.asked))
+        self.gate.set_transfer(now, self._how(waiting.asked))
         request = waiting.request
         request.setHeader(b"Content-Type", b"text/event-stream")
         request.setHeader(b"Cache-Control", b"no-store")
-        request.setHeader(b"X-Fleet", b"%d" % max(self.gate.known, len(self.gate.back)))
+        request.setHeader(b"X-Fleet", b"%d" % max(self.gate.expected, len(self.gate.returned)))
 
         def given() -> None:
-            self._later(self.gate.ended, conn, steady() - now)
+            self._later(self.gate.completed, conn, steady() - now)
 
         if not publisher.follow(request, waiting.asked, given):
             del self.conns[conn]
-            self._later(self.gate.ended, conn, 1)
+            self._later(self.gate.completed, conn, 1)
             request.write(answer(request, 409, {"error": "come again"}, Retry_After=1))
             request.finish()
 
-    def _turn_away(self, request: server.Request, reply: w.Tell) -> None:
+    def _turn_away(self, request: server.Request, reply: messages.Defer) -> None:
         fields = {
             "Retry_After": -(-reply.wait // SECOND),
             "X_Wait": reply.wait,
-            "X_Fleet": reply.fleet,
+            "X_Fleet": reply.fleet_size,
             "X_Late": int(reply.late),
         }
         if reply.ticket:
@@ -175,4 +175,4 @@
 
     def _wake(self) -> None:
         if not self.publisher.stopped:
-            self._carry(self.gate.pump(steady()))
+            self._carry(self.gate.admit_next(steady()))
--- a/hookrouter/feed/paced.py
+++ b/hookrouter/feed/paced.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from ..decisions.admission import comer as c
+from ..decisions.admission import reconnect
 from ..terms import SECOND
 
 ELSEWHERE = 500  # 50 ms: sent to where there is room, it goes there soon
@@ -17,7 +17,7 @@
     """desk: whose left() is what remains of the lease, tenths of a millisecond."""
 
     def __init__(self, desk):
-        self.desk, self.comer = desk, c.Comer(Random())
+        self.desk, self.comer = desk, reconnect.Reconnector(Random())
         self.answer = None
 
     def fields(self):
@@ -27,10 +27,10 @@
 
     def go(self):
         self.answer = None
-        self.comer.step(c.GO)
+        self.comer.step(reconnect.CONNECT)
 
     def came(self):
-        self.comer.step(c.CAME)
+        self.comer.step(reconnect.ADMITTED)
 
     def told(self, answer):
         if b"x-wait" in answer.fields:
@@ -40,11 +40,11 @@
         """(seconds until the next connection, whether the gateway stays the same). sent: elsewhere."""
         fields, self.answer = self.answer, None
         if fields is None:
-            pause = self.comer.step(c.ENDED if self.comer.state == c.UP else c.NOTHING)
-            return (c.BASE if pause is None else pause) / SECOND, False
+            pause = self.comer.step(reconnect.ENDED if self.comer.state == reconnect.UP else reconnect.NO_ANSWER)
+            return (reconnect.MIN_PAUSE if pause is None else pause) / SECOND, False
         ticket = fields.get(b"x-ticket", b"").decode("latin-1")
         wait = self.comer.step(
-            c.TELL,
+            reconnect.DEFERRED,
             whole(fields, b"x-wait"),
             ticket,
             whole(fields, b"x-late") == 1,
--- a/tests/admission_mistakes.py
+++ b/tests/admission_mistakes.py
@@ -2,9 +2,9 @@
 
 import msgspec
 
-from hookrouter.decisions.admission import Comer, Gate, tickets
-from hookrouter.decisions.admission import words as w
-from hookrouter.decisions.admission.gate import TOKENS
+from hookrouter.decisions.admission import Reconnector, Gate, tickets
+from hookrouter.decisions.admission import messages
+from hookrouter.decisions.admission.gate import BUCKET_SIZE
 from hookrouter.decisions.admission.overflow import Overflow
 from hookrouter.decisions.admission.queue import FORMER, URGENT
 
@@ -20,21 +20,21 @@
 class FormerRefused(Gate):
     """A ticket of a former life is refused, each time."""
 
-    def comes(self, now, come):
-        if come.ticket:
+    def arrived(self, now, arrival):
+        if arrival.ticket:
             try:
-                if tickets.read(self.terms.key, come.ticket, come.name).life != self.terms.life:
-                    return [w.Shut(come.conn, "a former life")]
+                if tickets.read(self.terms.seal_key, arrival.ticket, arrival.name).incarnation != self.terms.incarnation:
+                    return [messages.Close(arrival.conn, "a former life")]
             except ValueError:
                 pass
-        return super().comes(now, come)
+        return super().arrived(now, arrival)
 
 
 class FormerAtEnd(Gate):
     """A ticket of a former life gives no place."""
 
-    def _ticket(self, come):
-        super()._ticket(come)
+    def _read_ticket(self, arrival):
+        super()._read_ticket(arrival)
 
 
 class TailByArrival(Gate):
@@ -44,14 +44,14 @@
 
 
 class UrgentNotFirst(Gate):
-    def _key(self, now, come, key):
+    def _order_key(self, now, arrival, key):
         return key
 
 
 class UnsealedAccepted(Gate):
-    def _ticket(self, come):
+    def _read_ticket(self, arrival):
         try:
-            return tickets._decode(bytes.fromhex(come.ticket)[tickets.SEAL :]) if come.ticket else None
+            return tickets._decode(bytes.fromhex(arrival.ticket)[tickets.SEAL_BYTES :]) if arrival.ticket else None
         except (ValueError, msgspec.MsgspecError):
             return None
 
@@ -59,28 +59,28 @@
 class SlotEachTime(Gate):
     """Each connection is a flow of its own."""
 
-    def comes(self, now, come):
-        return super().comes(now, come._replace(name=f"{come.name}/{come.conn}"))
+    def arrived(self, now, arrival):
+        return super().arrived(now, arrival._replace(name=f"{arrival.name}/{arrival.conn}"))
 
 
 class BegunInVain(Gate):
     """One whose lease is over before it has ended is begun all the same."""
 
-    def _key(self, now, come, key):
-        return key if come.left <= 0 else (URGENT, now + come.left, 0, key[3])
+    def _order_key(self, now, arrival, key):
+        return key if arrival.lease_left <= 0 else (URGENT, now + arrival.lease_left, 0, key[3])
 
-    def pump(self, now):
+    def admit_next(self, now):
         for row in self.queue.rows.values():
-            row.until = 1 << 60
-        return super().pump(now)
+            row.lease_end = 1 << 60
+        return super().admit_next(now)
 
 
 class LateUnsaid(Gate):
-    def comes(self, now, come):
-        return [e._replace(late=False) if isinstance(e, w.Tell) else e for e in super().comes(now, come)]
+    def arrived(self, now, arrival):
+        return [e._replace(late=False) if isinstance(e, messages.Defer) else e for e in super().arrived(now, arrival)]
 
     def tick(self, now):
-        return [e._replace(late=False) if isinstance(e, w.Tell) else e for e in super().tick(now)]
+        return [e._replace(late=False) if isinstance(e, messages.Defer) else e for e in super().tick(now)]
 
 
 class HorizonBySetCost(Gate):
@@ -93,35 +93,35 @@
 class AllAtOnce(Gate):
     """The next begins while the last is under way."""
 
-    def pump(self, now):
-        self.busy, self.free_at = None, now
-        return super().pump(now)
+    def admit_next(self, now):
+        self.current, self.free_at = None, now
+        return super().admit_next(now)
 
 
 class TicketUsedTwice(Gate):
-    def _ticket(self, come):
-        self.spent.clear()
-        return super()._ticket(come)
+    def _read_ticket(self, arrival):
+        self.used_tickets.clear()
+        return super()._read_ticket(arrival)
 
 
 class FlowsUnbounded(Gate):
-    def _has_token(self, now, name):
-        self._flow(now, name).tokens = TOKENS
+    def _take_token(self, now, name):
+        self._flow(now, name).tokens = BUCKET_SIZE
         return True
 
 
 class FormerInAnyOrder(Gate):
     """Tickets of former lives keep a place, but not their order."""
 
-    def _enter(self, now, come):
-        row = super()._enter(now, come)
+    def _enqueue(self, now, arrival):
+        row = super()._enqueue(now, arrival)
         if row.key[0] == FORMER:
-            row.base = FORMER, -row.key[1], -row.key[2], row.number
-            self.queue.again(row, row.base, row.how)
+            row.base_key = FORMER, -row.key[1], -row.key[2], row.number
+            self.queue.move(row, row.base_key, row.transfer)
         return row
 
 
-class OnOneBeat(Comer):
+class OnOneBeat(Reconnector):
     """Told nothing, it comes back after the same pause as all."""
 
     def _pause(self):
@@ -132,7 +132,7 @@
     """What was sent since the news does not count."""
 
     def pick(self, now, waiting, rate):
-        for row in self.news.values():
+        for row in self.reports.values():
             row[2] = 0
         return super().pick(now, waiting, rate)
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -12,8 +12,8 @@
 from benchmarks.admission.model import Bounds, search
 from benchmarks.admission.scenes import KEY, scenes_of
 from benchmarks.admission.schedule import play
-from hookrouter.decisions.admission import Comer, tickets
-from hookrouter.decisions.admission import comer as c
+from hookrouter.decisions.admission import Reconnector, tickets
+from hookrouter.decisions.admission import reconnect
 from hookrouter.errors.wire import InvalidTicket
 from hookrouter.site import InvalidSiteFile, read_text
 
@@ -28,8 +28,8 @@
 
 
 @pytest.mark.parametrize("first", range(0, 45, 15))
-def test_seeded_storms_break_no_rule_and_all_come_back(first):
-    broken = {seed: breaks[:2] for seed in range(first, first + 15) if (breaks := play(seed).judge.breaks)}
+def test_seeded_storms_break_no_rule_and_all_come_back(first_seed):
+    broken = {seed: breaks[:2] for seed in range(first_seed, first_seed + 15) if (breaks := play(seed).judge.breaks)}
     assert broken == {}
 
 
@@ -53,16 +53,16 @@
 
 
 def test_a_comer_obeys_and_keeps_its_ticket_until_it_is_in():
-    comer = Comer(Random(1), 1)
-    comer.step(c.GO)
-    assert comer.step(c.TELL, 12_345, "t", True, 1_000) == 12_345 and comer.late
-    assert comer.cap() == 8_000  # 1,000 knock over 0.8 s
+    reconnector = Reconnector(Random(1), 1)
+    reconnector.step(reconnect.CONNECT)
+    assert reconnector.step(reconnect.DEFERRED, 12_345, "t", True, 1_000) == 12_345 and reconnector.late
+    assert reconnector.cap() == 8_000  # 1,000 knock over 0.8 s
     for _ in range(50):  # it fell meanwhile
-        comer.step(c.GO)
-        assert 200 <= comer.step(c.NOTHING) <= comer.cap() and comer.ticket == "t"
-    comer.step(c.GO)
-    comer.step(c.CAME)
-    assert comer.ticket == "" and comer.step(c.TELL, 1, "x", False, 1) is None
+        reconnector.step(reconnect.CONNECT)
+        assert 200 <= reconnector.step(reconnect.NO_ANSWER) <= reconnector.cap() and reconnector.ticket == "t"
+    reconnector.step(reconnect.CONNECT)
+    reconnector.step(reconnect.ADMITTED)
+    assert reconnector.ticket == "" and reconnector.step(reconnect.DEFERRED, 1, "x", False, 1) is None
 
 
 def test_the_section_is_refused_without_purges_and_nothing_is_loaded_without_it():
