--- a/benchmarks/spread/checks.py
+++ b/benchmarks/spread/checks.py
@@ -4,9 +4,9 @@
 
 from hookrouter import interface
 from hookrouter.decisions.spread import Spread, SpreadTerms
-from hookrouter.decisions.spread.busy import MOST_MOVE, Busy
+from hookrouter.decisions.spread.load_estimates import MAX_MOVE, LoadEstimates
 from hookrouter.decisions.spread.shares import Shares
-from hookrouter.decisions.spread.trickle import MOST_WAIT, STEP, Trickle
+from hookrouter.decisions.spread.trickle import MAX_WAIT, STEP, Trickle
 
 from . import shares_model, shares_world
 from .world import Summary
@@ -37,32 +37,32 @@
         busy.listed(cache, 1.0)
     for step in range(50):
         for cache in ALL:
-            busy.news(step * 2_000, summary(cache, level))
+            busy.record(step * 2_000, summary(cache, level))
     return busy, 49 * 2_000
 
 
-def liar_moves(make=Busy):
+def liar_moves(make=LoadEstimates):
     """The most that one false saying moves a level, over the mean."""
     busy, now = told(make)
-    busy.news(now + 2_000, summary("c1", 1e9))
+    busy.record(now + 2_000, summary("c1", 1e9))
     up = busy.others("c1", now + 2_000) - 10.0
     busy, now = told(make)
-    busy.news(now + 2_000, summary("c2", 0.0))
+    busy.record(now + 2_000, summary("c2", 0.0))
     return max(up, 10.0 - busy.others("c2", now + 2_000)) / 10.0
 
 
-def busy_wrong(make=Busy):
+def busy_wrong(make=LoadEstimates):
     busy, now = told(make)
     if abs(busy.others("c1", now) - 10.0) > 0.5:
         return "a level that all tell is not believed"
-    if liar_moves(make) > MOST_MOVE + 0.01:
+    if liar_moves(make) > MAX_MOVE + 0.01:
         return "one saying moves more than its bound"
-    busy.news(now + 2_000, summary("c3", 1.0, age=4_000))
+    busy.record(now + 2_000, summary("c3", 1.0, age=4_000))
     if busy.others("c3", now + 2_000) != busy.others("c4", now + 2_000):
         return "older news than those at hand are believed"
     first, second = told(make), told(make)
-    first[0].news(now + 2_000, summary("c1", 14.0))
-    second[0].news(now + 2_000, summary("c1", 14.0, doubted=True))
+    first[0].record(now + 2_000, summary("c1", 14.0))
+    second[0].record(now + 2_000, summary("c1", 14.0, doubted=True))
     if second[0].others("c1", now + 2_000) >= first[0].others("c1", now + 2_000):
         return "doubted news weigh as much as others"
     if busy.others("c1", now + 2_000 + TERMS.silent_after + 1) is not None:
@@ -77,7 +77,7 @@
     busy, now = told(make, 0.0)
     for step in range(1, 40):
         for cache in ALL:
-            busy.news(now + step * 2_000, summary(cache, 10.0))
+            busy.record(now + step * 2_000, summary(cache, 10.0))
     return busy.others("c1", now + 80_000)
 
 
@@ -90,8 +90,8 @@
     for step in range(200):
         now = step * 2_000
         one, other = past[max(0, len(past) - 15)]
-        busy.news(now, summary("c1", one, age=min(now, 30_000)))
-        busy.news(now, summary("c2", other, age=min(now, 30_000)))
+        busy.record(now, summary("c1", one, age=min(now, 30_000)))
+        busy.record(now, summary("c2", other, age=min(now, 30_000)))
         levels = busy.others("c1", now) or 15.0, busy.others("c2", now) or 15.0
         part = min(1.0, max(0.0, 0.5 - 1.5 * (levels[0] - levels[1]) / max(1.0, sum(levels))))
         past.append((30.0 * part, 30.0 * (1 - part)))
@@ -104,25 +104,25 @@
     names = tuple(f"r{n}" for n in range(count))
     members = [make(name) for name in names]
     for member in members:
-        member.stands(names)
-        member.own(0, "c", True)
+        member.set_members(names)
+        member.observe(0, "c", True)
     early = [m for m in members if m.tries("c", STEP - 1)]
     if len(early) > 1:
         return f"{len(early)} try a cache set aside before anybody told"
     if sum(m.tries("c", 2 * STEP - 1) for m in members) > 2:
         return "more try than the order lets"
     for member in members:
-        member.told(STEP, "c", True, 10)
+        member.receive(STEP, "c", True, 10)
     if not all(m.tries("c", STEP) for m in members):
         return "it was told to be well, and some do not try it"
     members = [make(name) for name in names]
     for member in members:
-        member.stands(names)
-        member.own(0, "c", True)
-    for now in range(0, MOST_WAIT, 1_000):
+        member.set_members(names)
+        member.observe(0, "c", True)
+    for now in range(0, MAX_WAIT, 1_000):
         for member in members:
-            member.told(now, "c", False, 1)
-    if not all(m.tries("c", MOST_WAIT) for m in members):
+            member.receive(now, "c", False, 1)
+    if not all(m.tries("c", MAX_WAIT) for m in members):
         return "a liar keeps a cache idle"
     return None
 
@@ -146,7 +146,7 @@
     return next((wrong for bounds in QUICK if (wrong := shares_model.explore(bounds, make)[1])), None)
 
 
-CHECKS = ((Shares, shares_wrong), (Busy, busy_wrong), (Trickle, trickle_wrong), (Spread, spread_wrong))
+CHECKS = ((Shares, shares_wrong), (LoadEstimates, busy_wrong), (Trickle, trickle_wrong), (Spread, spread_wrong))
 
 
 def found(make):
--- a/benchmarks/spread/shares_model.py
+++ b/benchmarks/spread/shares_model.py
@@ -8,12 +8,12 @@
 from typing import NamedTuple
 
 from hookrouter.decisions.spread.shares import Shares
-from hookrouter.decisions.spread.words import ColdTerms, SpreadTerms
+from hookrouter.decisions.spread.messages import ColdTerms, SpreadTerms
 
 NAMES = ("a", "b", "c")
 LEASE = 3  # ticks
 COLD = ColdTerms(share=1.0, span=1 << 20, pace=3.0, burst=2.9)  # a turn of each unit at each tick
-TERMS = SpreadTerms(number=0, routers=3, lump=1.0, cold=COLD, lease=LEASE, drift=0.0, slack=2)
+TERMS = SpreadTerms(number=0, routers=3, turn_work=1.0, cold=COLD, lease=LEASE, drift=0.0, slack=2)
 LONG = 1_000  # ticks before the first: nobody is new
 
 
@@ -27,7 +27,7 @@
 
 def twin_core(core):
     made, row = twin(core), twin(core.rows["x"])
-    row.own, row.lent = twin(row.own), {number: twin(unit) for number, unit in row.lent.items()}
+    row.own_unit, row.borrowed_units = twin(row.own_unit), {number: twin(unit) for number, unit in row.borrowed_units.items()}
     made.rows = {"x": row}
     return made
 
@@ -63,8 +63,8 @@
         rows = []
         for name in NAMES:
             core, row = self.cores[name], self.cores[name].rows["x"]
-            units = [(u.state, u.until, u.unit, u.after, u.given) for u in (row.own, *row.lent.values())]
-            rows.append((self.clocks[name], core.asked, core.life, units))
+            units = [(u.state, u.expires_at, u.number, u.last_turn, u.granted) for u in (row.own_unit, *row.borrowed_units.values())]
+            rows.append((self.clocks[name], core.requests_made, core.incarnation, units))
         return hash(
             repr(
                 (
@@ -85,13 +85,13 @@
             if name == self.paused:
                 continue
             row = core.rows["x"]
-            core.look(row, self.clocks[name], self.now)
-            for unit in (row.own, *row.lent.values()):
-                if unit.state == "held" and core.pays(row, unit, self.now, 1.0):
-                    who = (name, core.life)
-                    if self.may.setdefault((unit.unit, unit.turn), who) != who:
-                        first = self.may[unit.unit, unit.turn]
-                        return f"turn {unit.turn} of unit {unit.unit} is spent by {first} and {who}"
+            core.expire(row, self.clocks[name], self.now)
+            for unit in (row.own_unit, *row.borrowed_units.values()):
+                if unit.state == "held" and core.can_pay(row, unit, self.now, 1.0):
+                    who = (name, core.incarnation)
+                    if self.may.setdefault((unit.number, unit.turn), who) != who:
+                        first = self.may[unit.number, unit.turn]
+                        return f"turn {unit.turn} of unit {unit.number} is spent by {first} and {who}"
         oldest = self.now - 1  # no clock of turns is off here
         self.may = {key: who for key, who in self.may.items() if key[1] >= oldest}
         return None
@@ -116,8 +116,8 @@
                 continue
             if left.asks and name != "a":
                 yield "ask", name
-            own = self.cores[name].rows["x"].own
-            if own.state != "held" and self.clocks[name] >= own.until:
+            own = self.cores[name].rows["x"].own_unit
+            if own.state != "held" and self.clocks[name] >= own.expires_at:
                 yield "look", name
             if left.crashes:
                 yield "crash", name
@@ -138,15 +138,15 @@
     def ask(self, name):
         self.spend("asks")
         core = self.cores[name]
-        core.rows["x"].refused = 1
-        posts = core.wants("x", self.clocks[name], self.now, lambda count: ["a"])
-        self.net += [(name, post.to, post.message, self.lives[post.to]) for post in posts]
+        core.rows["x"].refusals = 1
+        posts = core.request_units("x", self.clocks[name], self.now, lambda count: ["a"])
+        self.net += [(name, post.recipient, post.message, self.lives[post.recipient]) for post in posts]
 
     def deliver(self, n):
         sender, to, message, life = self.net.pop(n)
         if life == self.lives[to]:
-            posts = self.cores[to].heard(self.clocks[to], self.now, sender, message)
-            self.net += [(to, post.to, post.message, self.lives[post.to]) for post in posts]
+            posts = self.cores[to].receive(self.clocks[to], self.now, sender, message)
+            self.net += [(to, post.recipient, post.message, self.lives[post.recipient]) for post in posts]
 
     def double(self, n):
         self.spend("doubled")
@@ -159,7 +159,7 @@
 
     def look(self, name):
         core = self.cores[name]
-        core.look(core.rows["x"], self.clocks[name], self.now)
+        core.expire(core.rows["x"], self.clocks[name], self.now)
 
     def pause(self, name):
         self.spend("pauses")
--- a/benchmarks/spread/shares_world.py
+++ b/benchmarks/spread/shares_world.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from hookrouter.decisions.spread.shares import Shares
-from hookrouter.decisions.spread.words import ColdTerms, SpreadTerms
+from hookrouter.decisions.spread.messages import ColdTerms, SpreadTerms
 from hookrouter.lab.engine import Engine
 
 SECOND = 10_000
@@ -33,7 +33,7 @@
 
     def start(self):
         self.life, self.up, self.inbox = self.life + 1, True, []
-        terms = SpreadTerms(number=self.number, routers=MEMBERS, lump=LUMP, cold=COLD)
+        terms = SpreadTerms(number=self.number, routers=MEMBERS, turn_work=LUMP, cold=COLD)
         self.core = self.world.make(terms, self.life, self.clock())
         self.core.start("c", self.world.born, 1.0, COLD, self.clock(), self.wall())
 
@@ -45,7 +45,7 @@
         if self.paused:
             self.inbox.append((life, sender, message))
         elif self.up and life == self.life:
-            self.post(self.core.heard(self.clock(), self.wall(), sender, message))
+            self.post(self.core.receive(self.clock(), self.wall(), sender, message))
 
     def tick(self):
         """What its executor does each 200 ms, and lookups meanwhile."""
@@ -58,7 +58,7 @@
                 self.world.spent(self, self.core.rows["c"].chosen, cost)
                 self.core.sent("c", cost)
         if "c" in self.core.rows:
-            self.post(self.core.wants("c", self.clock(), self.wall(), self.some))
+            self.post(self.core.request_units("c", self.clock(), self.wall(), self.some))
 
     def some(self, count):
         others = [node.name for node in self.world.nodes if node is not self]
@@ -79,16 +79,16 @@
 
     def carry(self, node, post):
         for _ in range(1 + (self.dice.random() < self.double)):
-            if self.dice.random() < self.loss or (node.name, post.to) in self.cuts:
+            if self.dice.random() < self.loss or (node.name, post.recipient) in self.cuts:
                 continue
-            span, to = self.dice.randrange(5, self.lag), self.named[post.to]
+            span, to = self.dice.randrange(5, self.lag), self.named[post.recipient]
             self.engine.after(span, to.heard, to.life, node.name, post.message)
 
     def spent(self, node, unit, cost):
         """A turn is one router's process's; of its lump no more is spent than there is, and one overdraft."""
         born = node.core.rows["c"].born  # one that has not heard of the cache's start goes by the former
-        key = (born, unit.unit, unit.turn)
-        self.lent += unit.whose == "lent"
+        key = (born, unit.number, unit.turn)
+        self.lent += unit.ownership == "lent"
         if self.by.setdefault(key, (node.name, node.life)) != (node.name, node.life):
             self.wrong.append(f"turn {key} spent by {self.by[key]} and {node.name}")
         self.paid[key] = self.paid.get(key, 0.0) + cost
--- a/benchmarks/spread/ways.py
+++ b/benchmarks/spread/ways.py
@@ -4,7 +4,7 @@
 
 from hookrouter.control.placing import LEAD, Placing
 from hookrouter.decisions.spread import Spread
-from hookrouter.decisions.spread.busy import MOST_MOVE, Busy
+from hookrouter.decisions.spread.load_estimates import MAX_MOVE, LoadEstimates
 
 IDEAL_LEAD = 1.1  # times busier: it levels better than with 1.0, 1.5 or the design's 2.0
 TURNOVER = 10_000  # 1 s: what was out then has come back
@@ -116,24 +116,24 @@
 class ByName(Spread):
     """Levels as ours, a lead for each name that all routers share."""
 
-    lead_of = ""
+    lead_salt = ""
 
 
-class AtOnce(Busy):
+class AtOnce(LoadEstimates):
     """Levels follow the news at once, faded by their age toward the mean (Dahlin)."""
 
     def follow(self, row, told, now):
         return told
 
-    def fade(self, age):
+    def age_weight(self, age):
         return exp(-age / TURNOVER)
 
 
-class AtMost(Busy):
+class AtMost(LoadEstimates):
     """Levels follow the news at once, by a bounded part of the mean."""
 
     def follow(self, row, told, now):
-        most = MOST_MOVE * self.scale(row)
+        most = MAX_MOVE * self.scale(row)
         return row.level + min(most, max(-most, told - row.level))
 
 
@@ -142,7 +142,7 @@
 
     def make(terms, me, seed, now):
         spread = Spread(terms, me, seed, now)
-        spread.busy = kind(terms)
+        spread.loads = kind(terms)
         return spread
 
     return make
@@ -152,7 +152,7 @@
     """Each send is drawn between the two candidates, by how busy the other is."""
 
     def lead(self, name):
-        drawn = self.dice.random()
+        drawn = self.rng.random()
         return drawn / (1 - drawn)
 
 
--- a/benchmarks/spread/world.py
+++ b/benchmarks/spread/world.py
@@ -213,7 +213,7 @@
             told = ways.SPREADS[way](spread_terms(terms), (f"r{n}", 1), n, self.now())
         control.fleet_view = told
         if way in ways.SPREADS:
-            told.stands([f"r{n}" for n in range(self.plan.routers)])
+            told.set_members([f"r{n}" for n in range(self.plan.routers)])
         control.decide(self.now(), [interface.CacheList(interface.REMEMBERED, self.lines)])
         if told is not None:
             told.listed(self.now(), self.lines[:-2])
@@ -257,16 +257,16 @@
         for n in control.edges if hasattr(member.told, "trickle") else ():
             aside = control.health.trickle[n] == 1
             cold = -1 if control.cold.now(n) is None else max(0, self.now() - control.cold.born[n])
-            posts = member.told.own(
+            posts = member.told.observe(
                 self.now(), control.cache_ids[n], aside, control.health.rest_until[n] if aside else None, cold
             )
             for post in posts:
-                other = self.members[int(post.to[1:])]
+                other = self.members[int(post.recipient[1:])]
                 self.engine.after(NEAR + int(self.plan.delay * SECOND), self.word, other, post.message)
 
     def word(self, member, message):
-        late = message.__class__(message.cache, message.well, int(self.plan.delay * SECOND), message.cold)
-        for started in member.told._word(self.now(), late):
+        late = message.__class__(message.cache, message.healthy, int(self.plan.delay * SECOND), message.cold_age)
+        for started in member.told._receive_probe_result(self.now(), late):
             n, born = member.control.row_by_id[started.cache], self.now() - started.age
             if born > member.control.cold.born[n]:
                 member.control.cold.start(n, born)
--- a/hookrouter/decisions/spread/__init__.py
+++ b/hookrouter/decisions/spread/__init__.py
@@ -3,6 +3,6 @@
 """
 
 from .spread import Spread, spread_terms
-from .words import SpreadTerms
+from .messages import SpreadTerms
 
 __all__ = ["Spread", "SpreadTerms", "spread_terms"]
--- a/hookrouter/decisions/spread/words.py
+++ b/hookrouter/decisions/spread/messages.py
@@ -7,49 +7,49 @@
 
 import msgspec
 
-MOST = 1 << 53
-MOST_UNITS = 4_096  # of a cold cache's allowance: one for each stated router of the fleet
+MAX_WHOLE = 1 << 53
+MAX_UNITS = 4_096  # of a cold cache's allowance: one for each stated router of the fleet
 
-Whole = Annotated[int, msgspec.Meta(ge=0, le=MOST)]
-Unit = Annotated[int, msgspec.Meta(ge=0, lt=MOST_UNITS)]
+Whole = Annotated[int, msgspec.Meta(ge=0, le=MAX_WHOLE)]
+Unit = Annotated[int, msgspec.Meta(ge=0, lt=MAX_UNITS)]
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=128)]
 TOPIC = "share"  # of the exchange's posts
 
 
-class Ask(msgspec.Struct, tag=True, array_like=True, frozen=True):
+class UnitRequest(msgspec.Struct, tag="Ask", array_like=True, frozen=True):
     """Wants a share of what this cold cache bears. number: the asker's own, one for each asking."""
 
     cache: Name
     born: Whole  # its start: what was ceded of another life of it is worth nothing
-    life: Whole  # the asker's process
+    incarnation: Whole  # the asker's process
     number: Whole
 
 
-class Cede(msgspec.Struct, tag=True, array_like=True, frozen=True):
+class UnitGrant(msgspec.Struct, tag="Cede", array_like=True, frozen=True):
     """The sender's unit is the asker's, for a lease from the moment of its asking by the asker's clock.
     after: the last turn of the unit that the sender may have used.
     """
 
     cache: Name
     born: Whole
-    life: Whole  # the asker's
+    incarnation: Whole  # the asker's
     number: Whole  # the asking that this answers
     unit: Unit
-    after: Annotated[int, msgspec.Meta(ge=-1, le=MOST)]
+    last_turn: Annotated[int, msgspec.Meta(ge=-1, le=MAX_WHOLE)]
 
 
-class Word(msgspec.Struct, tag=True, array_like=True, frozen=True):
+class ProbeResult(msgspec.Struct, tag="Word", array_like=True, frozen=True):
     """What the sender found, so long ago, when it tried a cache that was set aside. cold: since when it takes
     it for cold, as an age; -1: it does not.
     """
 
     cache: Name
-    well: bool
+    healthy: bool
     age: Whole
-    cold: Annotated[int, msgspec.Meta(ge=-1, le=MOST)] = -1
+    cold_age: Annotated[int, msgspec.Meta(ge=-1, le=MAX_WHOLE)] = -1
 
 
-Share = Ask | Cede | Word
+Message = UnitRequest | UnitGrant | ProbeResult
 
 
 class ColdTerms(NamedTuple):
@@ -65,11 +65,11 @@
     number: int  # this router's, of `routers` stated: its own unit of each cold cache
     routers: int
     zone: str = ""
-    lump: float = 1.0  # work of a turn
+    turn_work: float = 1.0  # work of a turn
     cold: ColdTerms | None = None  # of caches; None: the deployment states none
     parent_cold: ColdTerms | None = None
-    parent_sort: str | None = None
-    origin_sort: str | None = None
+    parent_machine_type: str | None = None
+    origin_machine_type: str | None = None
     lease: int = 20_000  # 2 s: short beside a cold start, long beside a delay of the network
     drift: float = 0.01  # between two clocks that nobody sets
     slack: int = 500  # 50 ms: clocks by which turns open differ by less
@@ -88,5 +88,5 @@
 class Post(NamedTuple):
     """An effect: this message to that member; it may be lost."""
 
-    to: str
-    message: Share
+    recipient: str
+    message: Message
--- a/hookrouter/decisions/spread/shares.py
+++ b/hookrouter/decisions/spread/shares.py
@@ -9,57 +9,57 @@
 """
 
 from . import turns
-from .words import Ask, Cede, Post
+from .messages import UnitRequest, UnitGrant, Post
 
 HELD, ASKED, CEDED, LAPSED = "held", "asked", "ceded", "lapsed"
-GIVE, ASK, GOT, OVER = "give", "ask", "got", "over"
-OWN, LENT = "own", "lent"
+GIVE, ASK, GRANTED, EXPIRED = "give", "ask", "got", "over"
+OWN, BORROWED = "own", "lent"
 
 # whose it is, state, input -> next state
 TABLE = {
     (OWN, HELD, GIVE): CEDED,
-    (OWN, CEDED, OVER): HELD,
-    (OWN, LAPSED, OVER): HELD,  # a former life of this router may have ceded it
-    (LENT, LAPSED, ASK): ASKED,
-    (LENT, ASKED, GOT): HELD,
-    (LENT, ASKED, OVER): LAPSED,
-    (LENT, HELD, OVER): LAPSED,
+    (OWN, CEDED, EXPIRED): HELD,
+    (OWN, LAPSED, EXPIRED): HELD,  # a former life of this router may have ceded it
+    (BORROWED, LAPSED, ASK): ASKED,
+    (BORROWED, ASKED, GRANTED): HELD,
+    (BORROWED, ASKED, EXPIRED): LAPSED,
+    (BORROWED, HELD, EXPIRED): LAPSED,
 }
 
-MOST_LENT = 16  # units of one cache at once, and asks that are open
-SPARE_FOR = 5_000  # 500 ms without a wish of its own: then a router has a unit to spare
-SOON = 0.7  # of a lease: a turn that opens later would lapse before the asker could use it
-ASKS = 2  # members in one go: most have no turn that opens soon
+MAX_BORROWED = 16  # units of one cache at once, and asks that are open
+IDLE_BEFORE_SPARE = 5_000  # 500 ms without a wish of its own: then a router has a unit to spare
+MAX_LEASE_PART = 0.7  # of a lease: a turn that opens later would lapse before the asker could use it
+REQUESTS_PER_ROUND = 2  # members in one go: most have no turn that opens soon
 
 
 class Unit:
     """One that this router may spend, or has ceded, or has asked for."""
 
-    __slots__ = ("whose", "state", "until", "unit", "after", "turn", "purse", "given")
+    __slots__ = ("ownership", "state", "expires_at", "number", "last_turn", "turn", "budget", "granted")
 
-    def __init__(self, whose, state, until, unit=None, after=-1):
-        self.whose, self.state, self.until, self.unit, self.after = whose, state, until, unit, after
-        self.turn, self.purse = -1, 0.0
-        self.given = None  # (asker, its life, its asking, after): a doubled asking gets the same answer
+    def __init__(self, ownership, state, expires_at, number=None, last_turn=-1):
+        self.ownership, self.state, self.expires_at, self.number, self.last_turn = ownership, state, expires_at, number, last_turn
+        self.turn, self.budget = -1, 0.0
+        self.granted = None  # (asker, its life, its asking, after): a doubled asking gets the same answer
 
 
-class Row:
+class ColdCache:
     """A cold cache."""
 
-    __slots__ = ("born", "weight", "terms", "own", "lent", "wished", "refused", "chosen")
+    __slots__ = ("born", "weight", "terms", "own_unit", "borrowed_units", "wanted_at", "refusals", "chosen")
 
     def __init__(self, born, weight, terms, own):
-        self.born, self.weight, self.terms, self.own = born, weight, terms, own
-        self.lent = {}  # number of the asking -> Unit
-        self.wished, self.refused, self.chosen = None, 0, None
+        self.born, self.weight, self.terms, self.own_unit = born, weight, terms, own
+        self.borrowed_units = {}  # number of the asking -> Unit
+        self.wanted_at, self.refusals, self.chosen = None, 0, None
 
 
 class Shares:
-    def __init__(self, terms, life, now):
-        self.terms, self.life, self.began = terms, life, now
-        self.asked, self.rows = 0, {}
+    def __init__(self, terms, incarnation, now):
+        self.terms, self.incarnation, self.started_at = terms, incarnation, now
+        self.requests_made, self.rows = 0, {}
         # By the ceder's clock: the asker's lease, stretched by both drifts, and what is lost to rounding.
-        self.away_for = int(terms.lease * (1 + 3 * terms.drift)) + terms.slack
+        self.cede_duration = int(terms.lease * (1 + 3 * terms.drift)) + terms.slack
 
     # ---- caches
 
@@ -71,33 +71,33 @@
             return
         if wall >= born + cold.span:
             return
-        until = self.began + self.away_for  # one just started may have ceded its unit in the life before
-        if row is not None and row.own.state != HELD:
-            until = max(until, row.own.until)  # whoever holds it may not have heard of the cache's start
-        own = Unit(OWN, LAPSED if now < until else HELD, until, self.terms.number)
-        row = self.rows[cache] = Row(born, weight, cold, own)
-        own.after = turns.open_at(row, own.unit, wall, self.terms)[0]  # Control may have used it alone
+        expires_at = self.started_at + self.cede_duration  # one just started may have ceded its unit in the life before
+        if row is not None and row.own_unit.state != HELD:
+            expires_at = max(expires_at, row.own_unit.expires_at)  # whoever holds it may not have heard of the cache's start
+        own = Unit(OWN, LAPSED if now < expires_at else HELD, expires_at, self.terms.number)
+        row = self.rows[cache] = ColdCache(born, weight, cold, own)
+        own.last_turn = turns.open_turn(row, own.number, wall, self.terms)[0]  # Control may have used it alone
 
     def forget(self, cache):
         self.rows.pop(cache, None)
 
     # ---- time
 
-    def step(self, unit, word):
-        unit.state = TABLE[unit.whose, unit.state, word]
+    def step(self, unit, event):
+        unit.state = TABLE[unit.ownership, unit.state, event]
 
-    def look(self, row, now, wall):
+    def expire(self, row, now, wall):
         """What is over by now. The first act after any wait."""
-        own = row.own
-        if own.state != HELD and now >= own.until:
-            self.step(own, OVER)
-            own.given, own.purse = None, 0.0
-            own.after = own.turn = turns.open_at(row, own.unit, wall, self.terms)[0]
-        if row.lent:
-            for number, unit in list(row.lent.items()):
-                if now >= unit.until:
-                    self.step(unit, OVER)
-                    del row.lent[number]
+        own = row.own_unit
+        if own.state != HELD and now >= own.expires_at:
+            self.step(own, EXPIRED)
+            own.granted, own.budget = None, 0.0
+            own.last_turn = own.turn = turns.open_turn(row, own.number, wall, self.terms)[0]
+        if row.borrowed_units:
+            for number, unit in list(row.borrowed_units.items()):
+                if now >= unit.expires_at:
+                    self.step(unit, EXPIRED)
+                    del row.borrowed_units[number]
 
     # ---- spending
 
@@ -109,89 +109,89 @@
         if wall >= row.born + row.terms.span:
             del self.rows[cache]
             return None
-        self.look(row, now, wall)
-        row.wished = now
-        for unit in (row.own, *row.lent.values()):
-            if unit.state == HELD and self.pays(row, unit, wall, cost):
+        self.expire(row, now, wall)
+        row.wanted_at = now
+        for unit in (row.own_unit, *row.borrowed_units.values()):
+            if unit.state == HELD and self.can_pay(row, unit, wall, cost):
                 row.chosen = unit
                 return True
         row.chosen = None
-        row.refused += 1
+        row.refusals += 1
         return False
 
-    def pays(self, row, unit, wall, cost):
-        turn, fresh = turns.open_at(row, unit.unit, wall, self.terms)
-        if turn <= unit.after or not fresh:
+    def can_pay(self, row, unit, wall, cost):
+        turn, fresh = turns.open_turn(row, unit.number, wall, self.terms)
+        if turn <= unit.last_turn or not fresh:
             return False
         if unit.turn != turn:
-            unit.turn, unit.purse = turn, min(self.terms.lump, unit.purse + self.terms.lump)
-        return unit.purse >= min(cost, self.terms.lump)
+            unit.turn, unit.budget = turn, min(self.terms.turn_work, unit.budget + self.terms.turn_work)
+        return unit.budget >= min(cost, self.terms.turn_work)
 
     def sent(self, cache, cost):
         row = self.rows.get(cache)
         if row is not None and row.chosen is not None:
-            row.chosen.purse -= cost
+            row.chosen.budget -= cost
 
     # ---- moving
 
-    def wants(self, cache, now, wall, pick):
+    def request_units(self, cache, now, wall, pick):
         """Asks of members by pick(n), where this router could not send what it had."""
         row, posts = self.rows[cache], []
-        self.look(row, now, wall)
-        wanted, row.refused = row.refused, 0
-        for to in pick(ASKS) if wanted and len(row.lent) + ASKS <= MOST_LENT else ():
-            self.asked += 1
-            unit = row.lent[self.asked] = Unit(LENT, LAPSED, now + self.terms.lease)
+        self.expire(row, now, wall)
+        shortfall, row.refusals = row.refusals, 0
+        for recipient in pick(REQUESTS_PER_ROUND) if shortfall and len(row.borrowed_units) + REQUESTS_PER_ROUND <= MAX_BORROWED else ():
+            self.requests_made += 1
+            unit = row.borrowed_units[self.requests_made] = Unit(BORROWED, LAPSED, now + self.terms.lease)
             self.step(unit, ASK)
-            posts.append(Post(to, Ask(cache, row.born, self.life, self.asked)))
+            posts.append(Post(recipient, UnitRequest(cache, row.born, self.incarnation, self.requests_made)))
         return posts
 
-    def spare(self, row, now, wall):
+    def can_spare(self, row, now, wall):
         """Whether the own unit is better with another: no wish for it here, and its turn comes soon."""
-        own = row.own
-        if own.state != HELD or own.purse < 0 or row.refused:
+        own = row.own_unit
+        if own.state != HELD or own.budget < 0 or row.refusals:
             return False
-        if row.wished is not None and now - row.wished < SPARE_FOR:
+        if row.wanted_at is not None and now - row.wanted_at < IDLE_BEFORE_SPARE:
             return False
-        return turns.until_next(row, own.unit, wall, self.terms) < SOON * self.terms.lease
+        return turns.time_to_next_turn(row, own.number, wall, self.terms) < MAX_LEASE_PART * self.terms.lease
 
-    def heard(self, now, wall, sender, message):
+    def receive(self, now, wall, sender, message):
         row = self.rows.get(message.cache)
         if row is None or row.born != message.born:
             return []
-        self.look(row, now, wall)
-        if isinstance(message, Ask):
-            return self._ask(row, now, wall, sender, message)
-        return self._cede(row, message)
-
-    def _ask(self, row, now, wall, sender, ask):
-        own, asking = row.own, (sender, ask.life, ask.number)
-        if own.state == CEDED and own.given[:3] == asking:  # heard twice, or its answer was lost
-            return [Post(sender, self._told(row, ask))]
-        if not self.spare(row, now, wall):
+        self.expire(row, now, wall)
+        if isinstance(message, UnitRequest):
+            return self._handle_request(row, now, wall, sender, message)
+        return self._handle_grant(row, message)
+
+    def _handle_request(self, row, now, wall, sender, request):
+        own, request_id = row.own_unit, (sender, request.incarnation, request.number)
+        if own.state == CEDED and own.granted[:3] == request_id:  # heard twice, or its answer was lost
+            return [Post(sender, self._grant(row, request))]
+        if not self.can_spare(row, now, wall):
             return []
-        self._reduce(row, own, now, wall, asking)
-        return [Post(sender, self._told(row, ask))]
+        self._cede_unit(row, own, now, wall, request_id)
+        return [Post(sender, self._grant(row, request))]
 
-    def _reduce(self, row, own, now, wall, asking):
+    def _cede_unit(self, row, own, now, wall, request_id):
         """Before it is told: from here on this router spends none of it."""
         self.step(own, GIVE)
-        own.until, own.purse = now + self.away_for, 0.0
-        own.after = turns.open_at(row, own.unit, wall, self.terms)[0]
-        own.given = (*asking, own.after)
+        own.expires_at, own.budget = now + self.cede_duration, 0.0
+        own.last_turn = turns.open_turn(row, own.number, wall, self.terms)[0]
+        own.granted = (*request_id, own.last_turn)
 
-    def _told(self, row, ask):
-        own = row.own
-        return Cede(ask.cache, row.born, ask.life, ask.number, own.unit, own.given[3])
+    def _grant(self, row, request):
+        own = row.own_unit
+        return UnitGrant(request.cache, row.born, request.incarnation, request.number, own.number, own.granted[3])
 
-    def _cede(self, row, cede):
-        unit = row.lent.get(cede.number)
-        if cede.life != self.life or unit is None or unit.state != ASKED:
+    def _handle_grant(self, row, grant):
+        unit = row.borrowed_units.get(grant.number)
+        if grant.incarnation != self.incarnation or unit is None or unit.state != ASKED:
             return []  # of a former life, too late, or told twice
-        if cede.unit == self.terms.number or cede.unit >= self.terms.routers:
+        if grant.unit == self.terms.number or grant.unit >= self.terms.routers:
             return []
-        if any(other.unit == cede.unit and other.state == HELD for other in row.lent.values()):
+        if any(other.number == grant.unit and other.state == HELD for other in row.borrowed_units.values()):
             return []
-        self.step(unit, GOT)
-        unit.unit, unit.after = cede.unit, cede.after
+        self.step(unit, GRANTED)
+        unit.number, unit.last_turn = grant.unit, grant.last_turn
         return []
--- a/hookrouter/decisions/spread/turns.py
+++ b/hookrouter/decisions/spread/turns.py
@@ -3,22 +3,22 @@
 from ...tables.turn_order import turn_position
 
 
-def handed(row, wall):
+def turns_handed_out(row, wall):
     """(turns to all routers since its start, what it is able to by now)."""
     cold, age = row.terms, max(0, wall - row.born)
-    able = row.weight * (cold.share + (1 - cold.share) * min(1.0, age / cold.span))
-    return cold.pace * age * (able + row.weight * cold.share) / 2, able
+    capacity = row.weight * (cold.share + (1 - cold.share) * min(1.0, age / cold.span))
+    return cold.pace * age * (capacity + row.weight * cold.share) / 2, capacity
 
 
-def open_at(row, unit, wall, terms):
+def open_turn(row, unit, wall, terms):
     """(turn of this unit that opened last, or -1; whether it is still open)."""
-    count, able = handed(row, wall)
+    count, capacity = turns_handed_out(row, wall)
     turn, since = divmod(count - turn_position(unit, terms.routers), terms.routers)
-    return int(max(-1, turn)), turn >= 0 and since <= row.terms.burst * able
+    return int(max(-1, turn)), turn >= 0 and since <= row.terms.burst * capacity
 
 
-def until_next(row, unit, wall, terms):
+def time_to_next_turn(row, unit, wall, terms):
     """Tenths of a millisecond until its next turn opens, as the pace is now."""
-    count, able = handed(row, wall)
-    left = terms.routers - (count - turn_position(unit, terms.routers)) % terms.routers
-    return left / max(1e-12, row.terms.pace * able)
+    count, capacity = turns_handed_out(row, wall)
+    remaining = terms.routers - (count - turn_position(unit, terms.routers)) % terms.routers
+    return remaining / max(1e-12, row.terms.pace * capacity)
--- a/hookrouter/fleet/member/spread.py
+++ b/hookrouter/fleet/member/spread.py
@@ -4,7 +4,7 @@
 
 from ... import interface
 from ...decisions.spread import Spread, spread_terms
-from ...decisions.spread.words import TOPIC, Started
+from ...decisions.spread.messages import TOPIC, Started
 from ...feed.purges import steady
 
 TICK = 0.2  # seconds: the list is looked at, shares are asked for, what was found is told
@@ -62,20 +62,20 @@
     def _tick(self):
         now, wall = steady(), self.router.now()
         self._list(now, wall)
-        neighbours = sorted({*self.sharing.neighbours(), self.spread.me[0]})
+        neighbours = sorted({*self.sharing.neighbours(), self.spread.member_id[0]})
         if neighbours != self.names:
             self.names = neighbours
-            self.spread.stands(neighbours)
+            self.spread.set_members(neighbours)
         health, posts = self.control.health, []
         for n in self.control.edges:
             # Once one send went well there it is found, though few go there yet.
             aside = health.trickle[n] == 1
             cold = -1 if self.control.cold.now(n) is None else max(0, wall - self.control.cold.born[n])
-            posts += self.spread.own(
+            posts += self.spread.observe(
                 now, self.control.cache_ids[n], aside, health.rest_until[n] if aside else None, cold
             )
         self._post(posts + self.spread.tick(now, wall))
-        if self.alone != self.spread.busy.alone(now):
+        if self.alone != self.spread.loads.alone(now):
             self.alone = not self.alone
             self.log(
                 "hears nothing of its zone's loads, decides alone"
@@ -115,12 +115,12 @@
         terms = self.spread.terms
         return (
             line.phase == interface.READY
-            and line.machine_type != terms.origin_sort
-            and (line.zone == terms.zone or line.machine_type == terms.parent_sort)
+            and line.machine_type != terms.origin_machine_type
+            and (line.zone == terms.zone or line.machine_type == terms.parent_machine_type)
         )
 
     def _heard(self, now, name, life, data):
-        self._post(self.spread.take(now, self.router.now(), name, data))
+        self._post(self.spread.receive(now, self.router.now(), name, data))
 
     def _post(self, posts):
         for post in posts:
@@ -128,7 +128,7 @@
                 self._started(post)
                 continue
             self.counts["posts"] += 1
-            self.sharing.post(post.to, TOPIC, encode(post.message))
+            self.sharing.post(post.recipient, TOPIC, encode(post.message))
 
     def _started(self, started):
         n, born = self.control.row_by_id.get(started.cache), self.router.now() - started.age
@@ -137,7 +137,7 @@
 
     def shown(self):
         """For people: levels of the others by cache, shares of cold ones, who seeks what."""
-        now, busy = steady(), self.spread.busy
+        now, busy = steady(), self.spread.loads
         return {
             "alone": busy.alone(now),
             "counts": dict(self.counts),
@@ -146,12 +146,12 @@
                 [
                     name,
                     None if (others := busy.others(name, now)) is None else round(others, 2),
-                    row.source.look(now, busy.terms),
+                    row.report.state_at(now, busy.terms),
                 ]
                 for name, row in sorted(busy.rows.items())
             ],
             "shares": [
-                [name, row.own.state, sum(unit.state == "held" for unit in row.lent.values())]
+                [name, row.own_unit.state, sum(unit.state == "held" for unit in row.borrowed_units.values())]
                 for name, row in sorted(self.spread.shares.rows.items())
             ],
             "sought": {name: row.state for name, row in sorted(self.spread.trickle.rows.items())},
--- a/tests/spread_mistakes.py
+++ b/tests/spread_mistakes.py
@@ -1,67 +1,67 @@
 """Mistakes seeded on purpose into spread: a check that finds none of them is no check."""
 
-from hookrouter.decisions.spread import Spread, shares, sources, trickle
-from hookrouter.decisions.spread.busy import Busy
-from hookrouter.decisions.spread.shares import HELD, LENT, Shares, Unit
+from hookrouter.decisions.spread import Spread, reported_load, shares, trickle
+from hookrouter.decisions.spread.load_estimates import LoadEstimates
+from hookrouter.decisions.spread.shares import HELD, BORROWED, Shares, Unit
 
 
 class LapsedStillSpent(Shares):
     """What was lent is spent beyond its lease."""
 
-    def look(self, row, now, wall):
-        lent, row.lent = row.lent, {}
-        super().look(row, now, wall)
-        row.lent = {number: unit for number, unit in lent.items() if unit.state == HELD or now < unit.until}
+    def expire(self, row, now, wall):
+        lent, row.borrowed_units = row.borrowed_units, {}
+        super().expire(row, now, wall)
+        row.borrowed_units = {number: unit for number, unit in lent.items() if unit.state == HELD or now < unit.expires_at}
 
 
 class CountedTwice(Shares):
     """A ceded unit is taken back before its lease is over: after a split both sides spend it."""
 
-    def _reduce(self, row, own, now, wall, asking):
-        super()._reduce(row, own, now, wall, asking)
-        own.until = now + (own.until - now) // 2
+    def _cede_unit(self, row, own, now, wall, request_id):
+        super()._cede_unit(row, own, now, wall, request_id)
+        own.expires_at = now + (own.expires_at - now) // 2
 
 
 class TellsBeforeItReduces(Shares):
     """The word goes out, the own spending stops with the next one."""
 
-    def _ask(self, row, now, wall, sender, ask):
-        own, before = row.own, row.own.after
-        posts = super()._ask(row, now, wall, sender, ask)
-        if posts and own.state == shares.CEDED and own.after != before:
-            own.given = (*own.given[:3], before)
+    def _handle_request(self, row, now, wall, sender, request):
+        own, before = row.own_unit, row.own_unit.last_turn
+        posts = super()._handle_request(row, now, wall, sender, request)
+        if posts and own.state == shares.CEDED and own.last_turn != before:
+            own.granted = (*own.granted[:3], before)
         return posts
 
 
 class LeaseWithoutDrift(Shares):
-    def __init__(self, terms, life, now):
-        super().__init__(terms, life, now)
-        self.away_for = terms.lease
+    def __init__(self, terms, incarnation, now):
+        super().__init__(terms, incarnation, now)
+        self.cede_duration = terms.lease
 
 
 class LeaseFromHearing(Shares):
     """The asker counts its lease from when the answer came."""
 
-    def heard(self, now, wall, sender, message):
+    def receive(self, now, wall, sender, message):
         row = self.rows.get(message.cache)
-        unit = row and isinstance(message, shares.Cede) and row.lent.get(message.number)
+        unit = row and isinstance(message, shares.UnitGrant) and row.borrowed_units.get(message.number)
         if unit and unit.state == shares.ASKED:
-            unit.until = now + self.terms.lease
-        return super().heard(now, wall, sender, message)
+            unit.expires_at = now + self.terms.lease
+        return super().receive(now, wall, sender, message)
 
 
 class DoubledCedeAddsTwice(Shares):
     """A cede that is heard again is one more."""
 
-    def _cede(self, row, cede):
-        super()._cede(row, cede)
-        unit = row.lent.get(cede.number)
-        if cede.life == self.life and unit is not None and unit.unit == cede.unit:
-            self.asked += 1
-            more = row.lent[self.asked] = Unit(
-                LENT, HELD, unit.until + self.terms.lease, cede.unit, cede.after
+    def _handle_grant(self, row, grant):
+        super()._handle_grant(row, grant)
+        unit = row.borrowed_units.get(grant.number)
+        if grant.incarnation == self.incarnation and unit is not None and unit.number == grant.unit:
+            self.requests_made += 1
+            more = row.borrowed_units[self.requests_made] = Unit(
+                BORROWED, HELD, unit.expires_at + self.terms.lease, grant.unit, grant.last_turn
             )
-            more.purse = self.terms.lump
+            more.budget = self.terms.turn_work
         return []
 
 
@@ -76,50 +76,50 @@
 class OpenTurnSpentByBoth(Shares):
     """The turn that is open when a unit changes hands is the receiver's too."""
 
-    def _cede(self, row, cede):
-        return super()._cede(row, shares.Cede(cede.cache, cede.born, cede.life, cede.number, cede.unit, -1))
+    def _handle_grant(self, row, grant):
+        return super()._handle_grant(row, shares.UnitGrant(grant.cache, grant.born, grant.incarnation, grant.number, grant.unit, -1))
 
 
 class OldCedeTaken(Shares):
     """An answer to whatever it asked once, in any life."""
 
-    def _cede(self, row, cede):
-        if cede.number not in row.lent or row.lent[cede.number].state != shares.ASKED:
-            self.asked += 1
-            row.lent[cede.number] = Unit(LENT, shares.ASKED, self.asked and row.own.until + (1 << 40))
-        return super()._cede(
-            row, shares.Cede(cede.cache, cede.born, self.life, cede.number, cede.unit, cede.after)
+    def _handle_grant(self, row, grant):
+        if grant.number not in row.borrowed_units or row.borrowed_units[grant.number].state != shares.ASKED:
+            self.requests_made += 1
+            row.borrowed_units[grant.number] = Unit(BORROWED, shares.ASKED, self.requests_made and row.own_unit.expires_at + (1 << 40))
+        return super()._handle_grant(
+            row, shares.UnitGrant(grant.cache, grant.born, self.incarnation, grant.number, grant.unit, grant.last_turn)
         )
 
 
-class NewsNeverAge(Busy):
+class NewsNeverAge(LoadEstimates):
     def others(self, cache, now):
         row = self.rows.get(cache)
-        return None if row is None or row.at is None else row.level
+        return None if row is None or row.updated_at is None else row.level
 
 
-class LiarUnbounded(Busy):
+class LiarUnbounded(LoadEstimates):
     """Whatever is told is so."""
 
-    def follow(self, row, told, now):
-        return row.source.out
+    def follow(self, row, target, now):
+        return row.report.in_flight
 
 
-class FollowsAtOnce(Busy):
+class FollowsAtOnce(LoadEstimates):
     """As old as they are, the news are what a level is."""
 
-    def follow(self, row, told, now):
-        return told
+    def follow(self, row, target, now):
+        return target
 
 
-class OldNewsHold(Busy):
+class OldNewsHold(LoadEstimates):
     """What is heard last counts, not what was seen last."""
 
-    def news(self, now, summary):
+    def record(self, now, summary):
         row = self.rows.get(summary.cache)
         if row is not None:
-            row.source.made = None
-        super().news(now, summary)
+            row.report.measured_at = None
+        super().record(now, summary)
 
 
 class OwnCountedTwice(Spread):
@@ -127,7 +127,7 @@
 
     def sent(self, cache, now, cost):
         super().sent(cache, now, cost)
-        self.busy.rows[cache].level += 1
+        self.loads.rows[cache].level += 1
 
 
 class IdleNeverTried(trickle.Trickle):
@@ -148,16 +148,16 @@
 
     def tries(self, cache, now):
         row = self.rows.get(cache)
-        return row is None or row.state != trickle.SOUGHT or now - row.quiet >= trickle.MOST_WAIT
+        return row is None or row.state != trickle.SOUGHT or now - row.last_result_at >= trickle.MAX_WAIT
 
 
-class DoubtedIsFresh(Busy):
+class DoubtedIsFresh(LoadEstimates):
     """News under doubt weigh as much as others."""
 
-    def told(self, row, now):
-        if row.source.state == sources.DOUBTED:
-            row.source.state = sources.FRESH
-        return super().told(row, now)
+    def discounted(self, row, now):
+        if row.report.state == reported_load.DOUBTED:
+            row.report.state = reported_load.FRESH
+        return super().discounted(row, now)
 
 
 MISTAKES = (
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -8,7 +8,7 @@
 from hookrouter import interface
 from hookrouter.control import Control
 from hookrouter.decisions.spread import Spread, spread_terms
-from hookrouter.decisions.spread.words import Ask, Cede, Started, Word
+from hookrouter.decisions.spread.messages import UnitRequest, UnitGrant, Started, ProbeResult
 from hookrouter.site import InvalidSiteFile, read_text
 
 NOW = 1_000_000
@@ -19,7 +19,7 @@
         spread_terms(terms())._replace(number=number, routers=4, **more), (name, 1), 1, NOW - 10 * SECOND
     )
     made.listed(NOW, lines or [cache(f"c{n}") for n in range(4)])
-    made.stands(["r0", "r1", "r2", "r3"])
+    made.set_members(["r0", "r1", "r2", "r3"])
     return made
 
 
@@ -81,37 +81,37 @@
     lines = [cache("c0", born=NOW - SECOND)]
     asker, owner = spread(lines=lines), spread("r1", 1, lines)
     wall = NOW
-    while owner.shares.spare(owner.shares.rows["c0"], wall, wall) is False:
+    while owner.shares.can_spare(owner.shares.rows["c0"], wall, wall) is False:
         wall += 1_000
         assert wall < NOW + 14 * SECOND
-    asker.shares.rows["c0"].refused = 1
-    asks = [post for post in asker.tick(wall, wall) if isinstance(post.message, Ask)]
+    asker.shares.rows["c0"].refusals = 1
+    asks = [post for post in asker.tick(wall, wall) if isinstance(post.message, UnitRequest)]
     encode = checks.encode
-    ceded = owner.take(wall, wall, "r0", encode(asks[0].message))
-    assert isinstance(ceded[0].message, Cede)
-    assert owner.take(wall, wall, "r0", encode(asks[0].message)) == ceded  # doubled: the same one
+    ceded = owner.receive(wall, wall, "r0", encode(asks[0].message))
+    assert isinstance(ceded[0].message, UnitGrant)
+    assert owner.receive(wall, wall, "r0", encode(asks[0].message)) == ceded  # doubled: the same one
     assert owner.allowance("c0", wall, 1.0) is False
     for _ in range(2):
-        asker.take(wall, wall, "r1", encode(ceded[0].message))
-    assert [unit.unit for unit in asker.shares.rows["c0"].lent.values() if unit.state == "held"] == [1]
+        asker.receive(wall, wall, "r1", encode(ceded[0].message))
+    assert [unit.number for unit in asker.shares.rows["c0"].borrowed_units.values() if unit.state == "held"] == [1]
     later = wall + asker.terms.lease
-    asker.shares.look(asker.shares.rows["c0"], later, later)
-    owner.shares.look(owner.shares.rows["c0"], later, later)
-    assert not asker.shares.rows["c0"].lent and owner.shares.rows["c0"].own.state == "ceded"
+    asker.shares.expire(asker.shares.rows["c0"], later, later)
+    owner.shares.expire(owner.shares.rows["c0"], later, later)
+    assert not asker.shares.rows["c0"].borrowed_units and owner.shares.rows["c0"].own_unit.state == "ceded"
 
 
 def test_what_cannot_be_read_changes_nothing():
     made = spread()
-    for data in (b"", b"\xff", b"\x90", checks.encode(Word("x", True, 5)), checks.encode([1, 2])):
-        assert made.take(NOW, NOW, "r1", data) == []
+    for data in (b"", b"\xff", b"\x90", checks.encode(ProbeResult("x", True, 5)), checks.encode([1, 2])):
+        assert made.receive(NOW, NOW, "r1", data) == []
 
 
 def test_who_did_not_try_takes_a_found_cache_for_cold_as_the_finder_does():
     made = spread()
-    word = checks.encode(Word("c1", True, 10, 500))
-    assert made.take(NOW, NOW, "r1", word) == []  # not set aside here: it has news of its own
-    made.own(NOW, "c1", True, 1)
-    assert made.take(NOW + SECOND, NOW, "r1", word) == [Started("c1", 510)]
+    word = checks.encode(ProbeResult("c1", True, 10, 500))
+    assert made.receive(NOW, NOW, "r1", word) == []  # not set aside here: it has news of its own
+    made.observe(NOW, "c1", True, 1)
+    assert made.receive(NOW + SECOND, NOW, "r1", word) == [Started("c1", 510)]
     assert made.tries("c1", NOW + SECOND)
 
 
