--- a/benchmarks/admission/gateway.py
+++ b/benchmarks/admission/gateway.py
@@ -1,8 +1,7 @@
 """A gateway of the made-up fleet: connections, the gate (or none), what its reactor has to do for each."""
 
-from hookrouter.decisions.admission import Arrival, Terms, tickets
-from hookrouter.decisions.admission import messages
-from hookrouter.decisions.admission.overflow import Overflow, NeighbourQueue
+from hookrouter.decisions.admission import Arrival, Terms, messages, tickets
+from hookrouter.decisions.admission.overflow import NeighbourQueue, Overflow
 
 KNOCK, SHUT, RENEW = 3, 1, 1  # 0.3 ms for a call that is answered, 0.1 ms to close one, 0.1 ms for a renewal
 TICK = 100  # 10 ms
--- a/benchmarks/admission/judge.py
+++ b/benchmarks/admission/judge.py
@@ -1,7 +1,6 @@
 """What must hold in every made-up storm, in plain words and slow lines, judged from outside the gate."""
 
-from hookrouter.decisions.admission import tickets
-from hookrouter.decisions.admission import messages
+from hookrouter.decisions.admission import messages, tickets
 from hookrouter.errors.wire import InvalidTicket
 
 from .gateway import KEY
--- a/benchmarks/admission/model.py
+++ b/benchmarks/admission/model.py
@@ -8,8 +8,7 @@
 from collections import deque
 from typing import NamedTuple
 
-from hookrouter.decisions.admission import Arrival, Gate, Terms, tickets
-from hookrouter.decisions.admission import messages
+from hookrouter.decisions.admission import Arrival, Gate, Terms, messages, tickets
 
 from .gateway import KEY
 
@@ -132,7 +131,13 @@
         sub = self.subs[n]
         self.conns += 1
         self.subs[n] = sub._replace(at="asking", knocks=sub.knocks + 1, conn=self.conns)
-        self.net.append(("come", Arrival(self.conns, f"s{n}", messages.SNAPSHOT, messages.NO_LEASE, sub.ticket), self.life))
+        self.net.append(
+            (
+                "come",
+                Arrival(self.conns, f"s{n}", messages.SNAPSHOT, messages.NO_LEASE, sub.ticket),
+                self.life,
+            )
+        )
         return []
 
     def arrive(self, k, twice):
--- a/benchmarks/admission/scenes.py
+++ b/benchmarks/admission/scenes.py
@@ -4,10 +4,8 @@
 
 import msgspec
 
-from hookrouter.decisions.admission import Arrival, Reconnector, Gate, Terms, tickets
-from hookrouter.decisions.admission import reconnect
-from hookrouter.decisions.admission import messages
-from hookrouter.decisions.admission.overflow import Overflow, NeighbourQueue
+from hookrouter.decisions.admission import Arrival, Gate, Reconnector, Terms, messages, reconnect, tickets
+from hookrouter.decisions.admission.overflow import NeighbourQueue, Overflow
 
 from .gateway import KEY
 from .schedule import fall
--- a/benchmarks/admission/schedule.py
+++ b/benchmarks/admission/schedule.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from hookrouter.decisions.admission import Reconnector, Gate
+from hookrouter.decisions.admission import Gate, Reconnector
 
 from .world import SECOND, Faults, World
 
--- a/benchmarks/admission/world.py
+++ b/benchmarks/admission/world.py
@@ -5,8 +5,7 @@
 from random import Random
 from typing import NamedTuple
 
-from hookrouter.decisions.admission import Reconnector, Gate
-from hookrouter.decisions.admission import messages
+from hookrouter.decisions.admission import Gate, Reconnector, messages
 from hookrouter.lab.engine import Engine
 
 from .gateway import Gateway
--- a/benchmarks/spread/checks.py
+++ b/benchmarks/spread/checks.py
@@ -146,7 +146,12 @@
     return next((wrong for bounds in QUICK if (wrong := shares_model.explore(bounds, make)[1])), None)
 
 
-CHECKS = ((Shares, shares_wrong), (LoadEstimates, busy_wrong), (Trickle, trickle_wrong), (Spread, spread_wrong))
+CHECKS = (
+    (Shares, shares_wrong),
+    (LoadEstimates, busy_wrong),
+    (Trickle, trickle_wrong),
+    (Spread, spread_wrong),
+)
 
 
 def found(make):
--- a/benchmarks/spread/shares_model.py
+++ b/benchmarks/spread/shares_model.py
@@ -7,8 +7,8 @@
 from collections import deque
 from typing import NamedTuple
 
-from hookrouter.decisions.spread.shares import Shares
 from hookrouter.decisions.spread.messages import ColdTerms, SpreadTerms
+from hookrouter.decisions.spread.shares import Shares
 
 NAMES = ("a", "b", "c")
 LEASE = 3  # ticks
@@ -27,7 +27,10 @@
 
 def twin_core(core):
     made, row = twin(core), twin(core.rows["x"])
-    row.own_unit, row.borrowed_units = twin(row.own_unit), {number: twin(unit) for number, unit in row.borrowed_units.items()}
+    row.own_unit, row.borrowed_units = (
+        twin(row.own_unit),
+        {number: twin(unit) for number, unit in row.borrowed_units.items()},
+    )
     made.rows = {"x": row}
     return made
 
@@ -63,7 +66,10 @@
         rows = []
         for name in NAMES:
             core, row = self.cores[name], self.cores[name].rows["x"]
-            units = [(u.state, u.expires_at, u.number, u.last_turn, u.granted) for u in (row.own_unit, *row.borrowed_units.values())]
+            units = [
+                (u.state, u.expires_at, u.number, u.last_turn, u.granted)
+                for u in (row.own_unit, *row.borrowed_units.values())
+            ]
             rows.append((self.clocks[name], core.requests_made, core.incarnation, units))
         return hash(
             repr(
--- a/benchmarks/spread/shares_world.py
+++ b/benchmarks/spread/shares_world.py
@@ -2,8 +2,8 @@
 
 from random import Random
 
-from hookrouter.decisions.spread.shares import Shares
 from hookrouter.decisions.spread.messages import ColdTerms, SpreadTerms
+from hookrouter.decisions.spread.shares import Shares
 from hookrouter.lab.engine import Engine
 
 SECOND = 10_000
--- a/benchmarks/spread/world.py
+++ b/benchmarks/spread/world.py
@@ -265,7 +265,9 @@
                 self.engine.after(NEAR + int(self.plan.delay * SECOND), self.word, other, post.message)
 
     def word(self, member, message):
-        late = message.__class__(message.cache, message.healthy, int(self.plan.delay * SECOND), message.cold_age)
+        late = message.__class__(
+            message.cache, message.healthy, int(self.plan.delay * SECOND), message.cold_age
+        )
         for started in member.told._receive_probe_result(self.now(), late):
             n, born = member.control.row_by_id[started.cache], self.now() - started.age
             if born > member.control.cold.born[n]:
--- a/benchmarks/warming/laws.py
+++ b/benchmarks/warming/laws.py
@@ -3,9 +3,8 @@
 from collections import Counter
 from random import Random
 
-from hookrouter.decisions.warming import Allowance, Borrowed, Sketch, merge
-from hookrouter.decisions.warming import words as w
-from hookrouter.decisions.warming.pace import Cold
+from hookrouter.decisions.warming import Allowance, BorrowedLists, Sketch, merge, messages
+from hookrouter.decisions.warming.pace import ColdCapacity
 
 LEAST = 1e-6
 
@@ -17,7 +16,7 @@
         sketch = Sketch(9)
         for _ in range(dice.randrange(400)):
             name = "page", f"o{int(dice.paretovariate(0.7)) % 60}", 0
-            sketch.asked(name, 10)
+            sketch.record(name, 10)
             true[name] += 1
         made.append(sketch.summary())
     one, two, three = made
@@ -34,11 +33,11 @@
 
 
 def listed(first, count, weight):
-    rows = [w.Row("page", f"o{n}", 0, 0, 1_000, weight) for n in range(first, first + count)]
-    return w.Lent(0, 0, 0, count * weight, 10_000, rows)
+    rows = [messages.Row("page", f"o{n}", 0, 0, 1_000, weight) for n in range(first, first + count)]
+    return messages.PopularityList(0, 0, 0, count * weight, 10_000, rows)
 
 
-def lists(dice, borrowed=Borrowed):
+def lists(dice, borrowed=BorrowedLists):
     """Twice is once, in any order; one that lies brings its stated share of all weight at most."""
     count, lies = dice.randrange(3, 12), dice.randrange(1, 10**9)
     lent = {f"r{k}": listed(0, 30, dice.randrange(500, 2_000)) for k in range(count)}
@@ -48,8 +47,8 @@
         table, order = borrowed(), [*lent, *dice.choices(list(lent), k=2)]
         dice.shuffle(order)
         for who in order:
-            table.take(who, lent[who])
-        tables.append({name: one.rate for name, one in table.sum().items()})
+            table.add(who, lent[who])
+        tables.append({name: one.rate for name, one in table.combined().items()})
     if tables[0] != tables[1]:
         return "the sum of the lists depends on their order, or adds twice"
     false = sum(rate for name, rate in tables[0].items() if int(name[1][1:]) >= 100)
@@ -60,7 +59,7 @@
 
 def allowances(dice, allowance=Allowance):
     """Fills with lookups stay within what is borne in every stretch of time; lookups first."""
-    terms = Cold(0.3, 100_000, 2.0, 2_000)
+    terms = ColdCapacity(0.3, 100_000, 2.0, 2_000)
     made, now, others, at, busy = allowance(terms, 0, 4, 0), 0, 0.0, 0, dice.choice((0.2, 0.6))
     room = 0.0  # a bucket in plain lines: what may be spent, were nothing forgotten
     for _ in range(400):
@@ -74,11 +73,11 @@
         word = dice.random()
         if word < 0.15:
             others = dice.random() * 0.6
-            made.told(now, 0, others)
+            made.set_others(now, 0, others)
         elif word < busy:
-            made.looked(now, 40)
+            made.spend_lookup(now, 40)
             room -= 40
-        elif others and made.fill(now, 30):
+        elif others and made.try_fill(now, 30):
             room -= 30
             if room < -LEAST:
                 return f"a fill goes where {-room:.0f} too much has gone already"
--- a/benchmarks/warming/location.py
+++ b/benchmarks/warming/location.py
@@ -7,8 +7,8 @@
 from random import Random
 
 from hookrouter.decisions.warming import Allowance, Sketch
-from hookrouter.decisions.warming.pace import Cold
-from hookrouter.decisions.warming.rank import hashed, rank
+from hookrouter.decisions.warming.pace import ColdCapacity
+from hookrouter.decisions.warming.rank import hash_key, rank
 from hookrouter.lab.engine import Engine
 from hookrouter.lab.stations import Copies, Link
 from hookrouter.lab.theory import zipf
@@ -92,7 +92,7 @@
         """The caches that keep that name, by the shared hash."""
         found = self.ranks.get(n)
         if found is None:
-            found = self.ranks[n] = tuple(rank(hashed(f"o{n}", 0), self.caches)[:2])
+            found = self.ranks[n] = tuple(rank(hash_key(f"o{n}", 0), self.caches)[:2])
         return found
 
     def changed(self):
@@ -103,7 +103,9 @@
         del self.caches[old]
         now = self.engine.now
         self.caches[new] = Server(self.engine, new, self.room, FLOWS, now)
-        self.allowances[new] = Allowance(Cold(SHARE, SPAN, MULTIPLE * BORNE * FLOWS, BURST), now, 1, now)
+        self.allowances[new] = Allowance(
+            ColdCapacity(SHARE, SPAN, MULTIPLE * BORNE * FLOWS, BURST), now, 1, now
+        )
         self.changed()
 
     # ---- lookups
@@ -122,7 +124,7 @@
         if not self.ahead:
             self._draw_ahead()
         n = self.ahead.pop()
-        self.dice.choice(self.sketches).asked(("page", f"o{n}", 0), self.sizes[n] * 1_000)
+        self.dice.choice(self.sketches).record(("page", f"o{n}", 0), self.sizes[n] * 1_000)
         top, second = self.candidates(n)
         self.look(n, top if self._affords(top, n) else second, top)
 
@@ -131,10 +133,10 @@
         allowance, cost = self.allowances.get(name), self.sizes[n] / FLOW
         if allowance is None or not self.caches[name].cold(self.engine.now):
             return True
-        allowance._fill_up(self.engine.now)
-        if allowance.room < cost:
+        allowance._refill(self.engine.now)
+        if allowance.balance < cost:
             return False
-        allowance.looked(self.engine.now, cost)
+        allowance.spend_lookup(self.engine.now, cost)
         return True
 
     def look(self, n, target, top):
@@ -161,7 +163,7 @@
     # ---- fills
 
     def parent(self, n):
-        return self.parents[rank(hashed(f"o{n}", 0), self.parents)[0]]
+        return self.parents[rank(hash_key(f"o{n}", 0), self.parents)[0]]
 
     def fill(self, server, n, source, done, *args):
         """One at a time for each name and cache; those that come meanwhile join it."""
--- a/benchmarks/warming/model.py
+++ b/benchmarks/warming/model.py
@@ -25,14 +25,14 @@
                 and (
                     one.state,
                     one.done,
-                    one.told,
-                    one.at,
-                    one.place,
-                    sorted(one.out),
-                    sorted(one.asked),
-                    sorted(one.struck),
+                    one.recorded_steps,
+                    one.step_index,
+                    one.name_index,
+                    sorted(one.in_flight),
+                    sorted(one.awaited_peers),
+                    sorted(one.purged_names),
                     [[entry.name for entry in step] for step in one.steps],
-                    one.failed,
+                    one.consecutive_failures,
                 ),
             )
         )
@@ -52,7 +52,7 @@
                 sorted(stage.failed),
                 stage.order,
                 stage.fallen,
-                [[c.number for c in lender.courses.values()] for lender in stage.lenders.values()],
+                [[c.number for c in lender.plans.values()] for lender in stage.lenders.values()],
             )
         )
     )
--- a/benchmarks/warming/owner.py
+++ b/benchmarks/warming/owner.py
@@ -2,10 +2,18 @@
 
 from collections import Counter
 
-from hookrouter.decisions.warming import Borrowed, Doors, Lender, Purged, Scene, Strain, Warming
-from hookrouter.decisions.warming import steps as s
-from hookrouter.decisions.warming import words as w
-from hookrouter.decisions.warming.plan import Kind
+from hookrouter.decisions.warming import (
+    BorrowedLists,
+    FillGate,
+    Lender,
+    LocationState,
+    OverloadDetector,
+    RecentPurges,
+    Warming,
+    messages,
+    steps,
+)
+from hookrouter.decisions.warming.planning import Kind
 from hookrouter.decisions.warming.rank import rank
 
 from .location import FLOW
@@ -21,7 +29,7 @@
     def __init__(self, location):
         self.location, self.owners = location, {}
         self.lenders = {f"r{k}": Lender(sketch, Position()) for k, sketch in enumerate(location.sketches)}
-        self.purged, self.strain, self.number = Purged(), Strain(), 0
+        self.purged, self.strain, self.number = RecentPurges(), OverloadDetector(), 0
         self.tried, self.filled = Counter(), Counter()  # of each name: asked of the cache, from a source
         self.past = tuple(location.caches)  # as they were for long
         self.ended, self.fills, self.repeated, self.by_source = [], 0, 0, {}
@@ -31,7 +39,7 @@
         changed = self.strain.answered(self.location.engine.now, late)
         if changed is not None:
             for owner in list(self.owners.values()):
-                owner.take(w.Strained(changed))
+                owner.take(messages.OverloadChanged(changed))
 
     def warm(self, target, before, after, done=0):
         self.number += 1
@@ -54,17 +62,17 @@
         self.before, self.after, self.done, self.alive = before, after, done, True
         self.heir = target in before
         slots = HEIRS if self.heir else SLOTS
-        self.doors = Doors(target, self.location.allowances.get(target), slots)
-        self.doors.work = 1 / 1_000 / FLOW
-        terms = s.Terms(target, self.scene, pool.purged, self.doors.may)
-        self.warming = Warming(terms, Borrowed())
+        self.doors = FillGate(target, self.location.allowances.get(target), slots)
+        self.doors.work_per_byte = 1 / 1_000 / FLOW
+        terms = steps.Terms(target, self.scene, pool.purged, self.doors.source_for)
+        self.warming = Warming(terms, BorrowedLists())
 
     def begin(self):
-        self.take(w.Owned(self.number, self.done, tuple(rank(self.target, self.pool.lenders))))
+        self.take(messages.Owned(self.number, self.done, tuple(rank(self.target, self.pool.lenders))))
         self.tick()
 
     def scene(self):
-        return Scene(
+        return LocationState(
             self.target,
             self.before,
             self.after,
@@ -78,7 +86,7 @@
     def look(self):
         now = self.location.engine.now
         owners = sorted(name for name, one in self.pool.owners.items() if one.heir == self.heir)
-        self.doors.told(
+        self.doors.update(
             now,
             self.target in self.location.caches,
             self.pool.warm_caches(now),
@@ -88,15 +96,15 @@
         )
 
     def tick(self):
-        if self.alive and self.warming.state not in (s.DONE, s.GIVEN_UP):
-            self.take(w.Tick())
+        if self.alive and self.warming.state not in (steps.DONE, steps.GIVEN_UP):
+            self.take(messages.Tick())
             self.location.engine.after(TICK, self.tick)
 
     def take(self, event):
         if not self.alive or self.pool.owners.get(self.target) is not self:
             return  # what comes after its end
         self.look()
-        for effect in self.warming.take(self.location.engine.now, event):
+        for effect in self.warming.handle(self.location.engine.now, event):
             getattr(self, "_" + type(effect).__name__.lower())(effect)
 
     def kill(self):
@@ -105,16 +113,16 @@
 
     def _borrow(self, effect):
         lent, course = self.pool.lenders[effect.lender].lend(self.location.engine.now, self.target)
-        self.location.engine.after(ASKED, self.take, w.Listed(effect.lender, lent, course))
+        self.location.engine.after(ASKED, self.take, messages.ListReceived(effect.lender, lent, course))
 
-    def _lodge(self, effect):
+    def _store(self, effect):
         for lender in effect.lenders:
-            self.pool.lenders[lender].lodge(effect.course)
-            self.location.engine.after(LODGED, self.take, w.Lodged(lender))
+            self.pool.lenders[lender].store_plan(effect.plan)
+            self.location.engine.after(LODGED, self.take, messages.PlanStored(lender))
 
     def _report(self, effect):
         self.done = effect.step
-        self.location.engine.after(REPORTED, self.take, w.Reported(effect.step))
+        self.location.engine.after(REPORTED, self.take, messages.Reported(effect.step))
 
     def _closed(self, effect):
         self.pool.owners.pop(self.target, None)
@@ -125,11 +133,11 @@
         self.pool.tried[n] += 1
         server = location.caches.get(self.target)
         if server is None:
-            self.take(w.Over(w.LEFT))
+            self.take(messages.Aborted(messages.CACHE_LEFT))
             return
         if server.copies.find(n, location.purges.get(n, 0)) is not None:
             self.pool.repeated += 1
-            location.engine.after(TICK, self.take, w.Ended(effect.name, w.HELD_ALREADY))
+            location.engine.after(TICK, self.take, messages.FillEnded(effect.name, messages.HELD_ALREADY))
             return
         self.pool.fills += 1
         self.pool.filled[n] += 1
@@ -142,4 +150,4 @@
 
     def _filled(self, made, server, n, name):
         server.copies.keep(n, self.location.sizes[n], made)
-        self.take(w.Ended(name, w.FILLED))
+        self.take(messages.FillEnded(name, messages.FILLED))
--- a/benchmarks/warming/stage.py
+++ b/benchmarks/warming/stage.py
@@ -8,24 +8,32 @@
 from typing import NamedTuple
 
 from hookrouter.decisions.owners.fence import Fence
-from hookrouter.decisions.warming import Borrowed, Doors, Lender, Purged, Scene, Sketch, Warming
-from hookrouter.decisions.warming import steps as s
-from hookrouter.decisions.warming import words as w
-from hookrouter.decisions.warming.plan import Kind
+from hookrouter.decisions.warming import (
+    BorrowedLists,
+    FillGate,
+    Lender,
+    LocationState,
+    RecentPurges,
+    Sketch,
+    Warming,
+    messages,
+    steps,
+)
+from hookrouter.decisions.warming.planning import Kind
 from hookrouter.purges.types import OBJECT, Purge
 
 DUTY, TARGET, NEIGHBOURS, PARENT = "warm/n", "n", ("a", "b"), "p"
 KINDS = {"page": Kind(True, 2, 0, 1.0)}
-OVER = (s.DONE, s.GIVEN_UP)
+OVER = (steps.DONE, steps.GIVEN_UP)
 
 
 class Parts(NamedTuple):
     """What the stage is built of; a seeded mistake takes the place of one."""
 
     warming: type = Warming
-    purged: type = Purged
-    borrowed: type = Borrowed
-    doors: type = Doors
+    purged: type = RecentPurges
+    borrowed: type = BorrowedLists
+    doors: type = FillGate
     fence: type = Fence
     dated: object = None  # how a warmed copy is dated where not by its source
 
@@ -49,7 +57,7 @@
             sketch = Sketch(64)
             for k, one in enumerate(self.names):
                 for _ in range(2 * (names - k) + 1):
-                    sketch.asked(one, 1_000)
+                    sketch.record(one, 1_000)
             self.lender_purged[name] = parts.purged()
             self.lenders[name] = Lender(sketch, None)
         self.number = self.done = self.changes = 0
@@ -68,13 +76,13 @@
 
     def scene(self, owner):
         warm = frozenset(one for one in NEIGHBOURS if one not in owner.drained)
-        return Scene(TARGET, NEIGHBOURS, (*NEIGHBOURS, TARGET), warm, (PARENT,), KINDS)
+        return LocationState(TARGET, NEIGHBOURS, (*NEIGHBOURS, TARGET), warm, (PARENT,), KINDS)
 
     def look(self, name):
         """What the owner knows of the list of caches, told to its doors."""
         owner = self.owners[name]
         warm = frozenset(one for one in NEIGHBOURS if one not in owner.drained)
-        owner.doors.told(self.now, TARGET not in owner.drained, warm, (PARENT,))
+        owner.doors.update(self.now, TARGET not in owner.drained, warm, (PARENT,))
 
     def grant(self, name):
         """The keepers give the duty, under a new number, with the steps that are known to be done."""
@@ -84,24 +92,24 @@
         self.holder = name
         owner = self.owners[name]
         owner.number, owner.struck, owner.floor = self.number, set(), 1 << 60
-        terms = s.Terms(TARGET, Scened(self, name), owner.purged, owner.doors.may, self.step)
+        terms = steps.Terms(TARGET, Scened(self, name), owner.purged, owner.doors.source_for, self.step)
         owner.warming = self.parts.warming(terms, self.parts.borrowed())
-        self.take(name, w.Owned(self.number, self.done, tuple(self.lenders)))
+        self.take(name, messages.Owned(self.number, self.done, tuple(self.lenders)))
 
     def take(self, name, event):
         owner = self.owners[name]
         if owner.warming is None or owner.paused:
             return
-        owner.doors.at(self.now)
-        for effect in owner.warming.take(self.now, event):
+        owner.doors.set_time(self.now)
+        for effect in owner.warming.handle(self.now, event):
             getattr(self, "_" + type(effect).__name__.lower())(owner, effect)
 
     def _borrow(self, owner, effect):
         self.send(("lend", owner.name, effect.lender, owner.number))
 
-    def _lodge(self, owner, effect):
+    def _store(self, owner, effect):
         for lender in effect.lenders:
-            self.send(("lodge", owner.name, lender, effect.course))
+            self.send(("lodge", owner.name, lender, effect.plan))
 
     def _fill(self, owner, effect):
         name = effect.name
@@ -138,7 +146,7 @@
         row = self.net.pop(k)
         self.lost_word |= row[0] != "fill"
         if row[0] == "fill":  # its deadline passes
-            self.send(("ended", row[1], row[2], row[3], w.FAILED))
+            self.send(("ended", row[1], row[2], row[3], messages.FAILED))
 
     def double(self, k):
         self.left["doubled"] -= 1
@@ -154,25 +162,25 @@
     def on_lent(self, name, lender, number, lent, course):
         owner = self.owners[name]
         if owner.number == number:
-            if owner.warming is not None and not owner.paused and lender in owner.warming.asked:
+            if owner.warming is not None and not owner.paused and lender in owner.warming.awaited_peers:
                 owner.floor = min(owner.floor, lent.purge)  # the oldest list: each has all names
                 owner.struck |= {("page", p.what, 0) for p in owner.purged.rows if p.n > lent.purge}
-            self.take(name, w.Listed(lender, lent, course))
+            self.take(name, messages.ListReceived(lender, lent, course))
 
     def on_lodge(self, name, lender, course):
-        self.lenders[lender].lodge(course)
+        self.lenders[lender].store_plan(course)
         self.send(("lodged", name, lender, course.number))
 
     def on_lodged(self, name, lender, number):
         if self.owners[name].number == number:
-            self.take(name, w.Lodged(lender))
+            self.take(name, messages.PlanStored(lender))
 
     def on_fill(self, name, number, one, source, floor):
         """At the cache: the fence first, and the number seen there is never lower again."""
         if self.fallen:
-            end = w.FAILED
+            end = messages.FAILED
         elif not number or not self.fence.admit(DUTY, number):
-            end = w.OLD_NUMBER
+            end = messages.OLD_NUMBER
             self.late_refused += 1
             if not number and not self.copies.get(one):  # no number, no fence: it passes for a lookup
                 end = self.keep(one, source, floor)
@@ -188,22 +196,22 @@
     def keep(self, one, source, floor):
         """A neighbour's copy may be of before any purge; the age asked for passes none the owner knew of."""
         if self.copies.get(one, -1) >= floor:
-            return w.HELD_ALREADY
+            return messages.HELD_ALREADY
         newest = max([n for n, what in self.order if what == one[1]], default=0)
         made = 0 if source in NEIGHBOURS and not floor else newest
         self.read[one] += 1
         self.true[one] = made
         self.copies[one] = made if self.parts.dated is None else self.parts.dated(self.order)
-        return w.FILLED
+        return messages.FILLED
 
     def on_fail(self, name, number, one):
-        self.send(("ended", name, number, one, w.FAILED))
+        self.send(("ended", name, number, one, messages.FAILED))
 
     def on_ended(self, name, number, one, end):
         if self.owners[name].number == number or not number:
-            if end == w.FAILED:
+            if end == messages.FAILED:
                 self.failed.add(one)
-            self.take(name, w.Ended(one, end))
+            self.take(name, messages.FillEnded(one, end))
 
     def on_report(self, number, step):
         if number == self.number and step == self.done + 1:
@@ -213,16 +221,16 @@
 
     def on_reported(self, name, number, step):
         if self.owners[name].number == number:
-            self.take(name, w.Reported(step))
+            self.take(name, messages.Reported(step))
 
     def on_purge(self, who, purge):
         if who in self.owners:
             owner = self.owners[who]
-            owner.purged.told(purge)
+            owner.purged.add(purge)
             if purge.n > owner.floor:
                 owner.struck.add(("page", purge.what, 0))
         else:
-            self.lender_purged[who].told(purge)
+            self.lender_purged[who].add(purge)
         if not any(row[0] == "purge" and row[2] == purge for row in self.net):
             self.serve(purge)
 
@@ -241,7 +249,7 @@
         purge = Purge(0, n, 0, OBJECT, self.names[k][1])
         for who in self.lenders:
             if "lent" in self.at_once:
-                self.lender_purged[who].told(purge)
+                self.lender_purged[who].add(purge)
             else:
                 self.net.append(("purge", who, purge))
         self.net += [("purge", who, purge) for who in self.owners]
@@ -256,13 +264,13 @@
         owner.drained.add(cache)
         self.look(name)
         if cache == TARGET:
-            self.take(name, w.Over(w.DRAINED))
+            self.take(name, messages.Aborted(messages.DRAINED))
 
     def fail(self, k):
         """The source refuses."""
         self.left["fails"] -= 1
         row = self.net.pop(k)
-        self.send(("ended", row[1], row[2], row[3], w.FAILED))
+        self.send(("ended", row[1], row[2], row[3], messages.FAILED))
 
     def fall(self):
         self.left["falls"] -= 1
@@ -277,7 +285,7 @@
         owner = self.owners[name]
         owner.paused = False
         if self.holder != name:
-            self.take(name, w.Over(w.LEASE))
+            self.take(name, messages.Aborted(messages.LEASE_OVER))
 
     def kill(self, name):
         self.left["kills"] -= 1
@@ -285,16 +293,16 @@
 
     def tick(self, name):
         self.now += 1
-        self.take(name, w.Tick())
+        self.take(name, messages.Tick())
 
     def wait(self, name):
-        self.now += s.BORROW_FOR
-        self.take(name, w.Tick())
+        self.now += steps.BORROW_TIMEOUT
+        self.take(name, messages.Tick())
 
     def strain(self, name):
         self.left["strains"] -= 1
-        self.take(name, w.Strained(True))
-        self.take(name, w.Strained(False))
+        self.take(name, messages.OverloadChanged(True))
+        self.take(name, messages.OverloadChanged(False))
 
     # ---- what may come next
 
@@ -322,9 +330,9 @@
             if owner.paused:
                 yield "wake", name
                 continue
-            if owner.warming.state == s.WARMING and owner.warming.place < self.step:
+            if owner.warming.state == steps.WARMING and owner.warming.name_index < self.step:
                 yield "tick", name
-            if owner.warming.state in (s.BORROWING, s.PLANNED) and not any(
+            if owner.warming.state in (steps.BORROWING, steps.PLANNED) and not any(
                 row[0] in ("lend", "lent", "lodge", "lodged") and row[1] == name for row in self.net
             ):
                 yield "wait", name
--- a/hookrouter/decisions/admission/costs.py
+++ b/hookrouter/decisions/admission/costs.py
@@ -2,7 +2,10 @@
 
 from . import messages
 
-INITIAL_COSTS = {messages.TAIL: 20, messages.SNAPSHOT: 200}  # 2 ms and 20 ms: until the first of that sort has ended
+INITIAL_COSTS = {
+    messages.TAIL: 20,
+    messages.SNAPSHOT: 200,
+}  # 2 ms and 20 ms: until the first of that sort has ended
 NEWEST_WEIGHT = 0.25  # weight of the newest: a change of cost is followed within some ten admissions
 MIN_COST = 1  # a tenth of a millisecond: the clock's step
 
--- a/hookrouter/decisions/admission/gate.py
+++ b/hookrouter/decisions/admission/gate.py
@@ -7,21 +7,29 @@
 """
 
 from ...errors.wire import InvalidTicket
-from . import slots, tickets
-from . import messages
-from .reconnect import MIN_CAP, CAP_PER_FOLLOWER
+from . import messages, slots, tickets
 from .costs import Costs
 from .queue import FORMER, NEVER, NEW, URGENT, Queue, Row
+from .reconnect import CAP_PER_FOLLOWER, MIN_CAP
 
 MAX_HOLD = 10_000  # 1 s: one that comes early is answered that late; less than a follower's patience (1.8 s)
 NO_SHOW_TIMEOUT = 50_000  # 5 s after its slot one that did not come has no place any more
-LAPSE_FACTOR, MIN_LAPSE = 4, 5_000  # times its mean, at least 0.5 s: one that does not end is waited for no longer
+LAPSE_FACTOR, MIN_LAPSE = (
+    4,
+    5_000,
+)  # times its mean, at least 0.5 s: one that does not end is waited for no longer
 RENEWAL_MARGIN = 1_000  # 0.1 s: from an admission to the renewal that it makes possible
 BUCKET_SIZE, TOKEN_INTERVAL = 4, 5_000  # connections of one flow in a row, and one more each half second
 MAX_REMEMBERED = 20_000  # tickets of former lives remembered as used, and flows: two for each place
 
 RECOVERING, PACING, OPEN, OVERRUN = "recovering", "pacing", "open", "overrun"
-GATHERED, ALL_BACK, CROWDED, DEADLINE_MISSED, DEADLINES_MET = "gathered", "all back", "many", "hopeless", "in time"
+GATHERED, ALL_BACK, CROWDED, DEADLINE_MISSED, DEADLINES_MET = (
+    "gathered",
+    "all back",
+    "many",
+    "hopeless",
+    "in time",
+)
 TABLE = {
     (RECOVERING, GATHERED): PACING,
     (PACING, ALL_BACK): OPEN,
@@ -110,7 +118,9 @@
                 effects.append(messages.Close(row.conn, "came anew"))
                 self.queue.detach(row)
             row.lease_end = now + arrival.lease_left if arrival.lease_left > 0 else NEVER
-            ticket = self._read_ticket(arrival)  # of another gateway, or of before: it came here without, once
+            ticket = self._read_ticket(
+                arrival
+            )  # of another gateway, or of before: it came here without, once
             if ticket is not None:
                 row.base_key = min(row.base_key, (FORMER, ticket.incarnation, ticket.turn, row.number))
             self.queue.move(row, self._order_key(now, arrival, row.base_key), arrival.transfer)
@@ -171,10 +181,14 @@
         elif self.state != RECOVERING:
             for key in list(self.queue.present):
                 row = self.queue.by_key[key]
-                if now - row.arrived_at >= MAX_HOLD:  # its patience ends; the early one's turn is not sooner for it
+                if (
+                    now - row.arrived_at >= MAX_HOLD
+                ):  # its patience ends; the early one's turn is not sooner for it
                     row.early = False
                     effects += self._answer(now, row, True)
-        for row in [row for row in self.queue.rows.values() if row.conn is None and now > row.due + NO_SHOW_TIMEOUT]:
+        for row in [
+            row for row in self.queue.rows.values() if row.conn is None and now > row.due + NO_SHOW_TIMEOUT
+        ]:
             self.queue.remove(row)
             self._count("forgotten")
             if row.base_key[0] == FORMER and len(self.former_places) < MAX_REMEMBERED:
@@ -199,7 +213,9 @@
         self.last_number += 1
         lease_end = now + arrival.lease_left if arrival.lease_left > 0 else NEVER
         # One whose lease cannot be kept is behind those that hold theirs: they will need it sooner.
-        kept = len(self.queue.present) * self.gap() + self.costs.mean_of(arrival.transfer) <= arrival.lease_left
+        kept = (
+            len(self.queue.present) * self.gap() + self.costs.mean_of(arrival.transfer) <= arrival.lease_left
+        )
         key = (NEW, self._flow(now, arrival.name).admitted, lease_end if kept else NEVER, self.last_number)
         if ticket is not None:
             key = (FORMER, ticket.incarnation, ticket.turn, self.last_number)
@@ -214,7 +230,9 @@
         if arrival.lease_left <= 0 or self._flow(now, arrival.name).admitted:
             return key
         gap, own_cost = self.gap(), self.costs.mean_of(arrival.transfer) + RENEWAL_MARGIN
-        missing = max(0, self.expected - len(self.returned) - len(self.queue)) if self.state == RECOVERING else 0
+        missing = (
+            max(0, self.expected - len(self.returned) - len(self.queue)) if self.state == RECOVERING else 0
+        )
         urgent = (URGENT, now + arrival.lease_left, 0, key[3])
         if (self.queue.index(key) + missing) * gap + own_cost > arrival.lease_left and self.queue.index(
             urgent
@@ -285,13 +303,17 @@
         wait = slots.wait_for_slot(index, gap, self.rng, self._hold_limit() // 2)
         row.late = row.lease_end == NEVER or row.lease_end < now + index * gap
         row.due = now + wait
-        ticket = tickets.Ticket(self.terms.name, self.terms.incarnation, row.number, self.turns + index, row.name)
+        ticket = tickets.Ticket(
+            self.terms.name, self.terms.incarnation, row.number, self.turns + index, row.name
+        )
         self._count("told")
         conn = row.conn
         self.queue.detach(row)
         alternative = self.elsewhere(now, index, 10_000 / gap)
         text = tickets.write(self.terms.seal_key, ticket)
-        return [messages.Defer(conn, wait, text, row.late, max(self.expected, len(self.returned)), alternative)]
+        return [
+            messages.Defer(conn, wait, text, row.late, max(self.expected, len(self.returned)), alternative)
+        ]
 
     def _defer_without_place(self, arrival):
         self._count("no_place")
@@ -301,7 +323,10 @@
     def _take_token(self, now, name):
         flow = self._flow(now, name)
         gained = (now - flow.refilled_at) // TOKEN_INTERVAL
-        flow.tokens, flow.refilled_at = min(BUCKET_SIZE, flow.tokens + gained), flow.refilled_at + gained * TOKEN_INTERVAL
+        flow.tokens, flow.refilled_at = (
+            min(BUCKET_SIZE, flow.tokens + gained),
+            flow.refilled_at + gained * TOKEN_INTERVAL,
+        )
         if flow.tokens < 1:
             return False
         flow.tokens -= 1
@@ -320,7 +345,8 @@
             late = any(row.late for row in self.queue.rows.values())
             self._step(DEADLINE_MISSED if late else DEADLINES_MET)
             if not self.queue.rows and (
-                len(self.returned) >= self.expected or now > self.started + self.gather_time + self.horizon() + NO_SHOW_TIMEOUT
+                len(self.returned) >= self.expected
+                or now > self.started + self.gather_time + self.horizon() + NO_SHOW_TIMEOUT
             ):
                 self._step(ALL_BACK)
 
--- a/hookrouter/decisions/admission/overflow.py
+++ b/hookrouter/decisions/admission/overflow.py
@@ -8,7 +8,9 @@
 from typing import NamedTuple
 
 MAX_REPORT_AGE = 50_000  # 5 s: news older than that is none
-MAX_WAIT_RATIO = 0.5  # of the own wait, at most, has to be expected there: a move costs a connection and a tail
+MAX_WAIT_RATIO = (
+    0.5  # of the own wait, at most, has to be expected there: a move costs a connection and a tail
+)
 MIN_GAIN = 2_000  # 0.2 s that a move costs at least
 
 
--- a/hookrouter/decisions/admission/queue.py
+++ b/hookrouter/decisions/admission/queue.py
@@ -14,10 +14,28 @@
 
 
 class Row:
-    __slots__ = ("name", "key", "base_key", "number", "transfer", "lease_end", "due", "conn", "arrived_at", "late", "early")
+    __slots__ = (
+        "name",
+        "key",
+        "base_key",
+        "number",
+        "transfer",
+        "lease_end",
+        "due",
+        "conn",
+        "arrived_at",
+        "late",
+        "early",
+    )
 
     def __init__(self, name, key, number, transfer, lease_end, now):
-        self.name, self.key, self.number, self.transfer, self.lease_end = name, key, number, transfer, lease_end
+        self.name, self.key, self.number, self.transfer, self.lease_end = (
+            name,
+            key,
+            number,
+            transfer,
+            lease_end,
+        )
         self.base_key = key  # its place if no lease has to be kept
         self.due, self.conn, self.arrived_at, self.late = now, None, now, False  # due: when it is to come
         self.early = False  # came before it was told to
--- a/hookrouter/decisions/admission/reconnect.py
+++ b/hookrouter/decisions/admission/reconnect.py
@@ -7,7 +7,9 @@
 
 MIN_PAUSE = 200  # 20 ms: the shortest pause
 MIN_CAP = 4_000  # 0.4 s: the longest of a small fleet, as without admission
-CAP_PER_FOLLOWER = 8  # 0.8 ms of the cap for each of the fleet: 1,250 knocks a second at a gateway, whatever the size
+CAP_PER_FOLLOWER = (
+    8  # 0.8 ms of the cap for each of the fleet: 1,250 knocks a second at a gateway, whatever the size
+)
 MAX_FLEET_SIZE = 100_000
 MAX_WAIT = 36_000_000  # 1 h: a longer wait is not believed
 
--- a/hookrouter/decisions/spread/__init__.py
+++ b/hookrouter/decisions/spread/__init__.py
@@ -2,7 +2,7 @@
 leases, and who finds a recovered one. Decisions: no file, socket, clock.
 """
 
-from .spread import Spread, spread_terms
 from .messages import SpreadTerms
+from .spread import Spread, spread_terms
 
 __all__ = ["Spread", "SpreadTerms", "spread_terms"]
--- a/hookrouter/decisions/spread/load_estimates.py
+++ b/hookrouter/decisions/spread/load_estimates.py
@@ -23,7 +23,12 @@
     __slots__ = ("report", "level", "weight", "updated_at")
 
     def __init__(self, weight):
-        self.report, self.level, self.weight, self.updated_at = reported_load.ReportedLoad(), 0.0, weight, None
+        self.report, self.level, self.weight, self.updated_at = (
+            reported_load.ReportedLoad(),
+            0.0,
+            weight,
+            None,
+        )
 
 
 class LoadEstimates:
@@ -56,7 +61,9 @@
         row = self.rows.get(summary.cache)
         if row is None or not row.report.record(now, summary, self.terms):
             return
-        self.newest = max(row.report.measured_at, self.newest if self.newest is not None else row.report.measured_at)
+        self.newest = max(
+            row.report.measured_at, self.newest if self.newest is not None else row.report.measured_at
+        )
         target = self.discounted(row, now)
         if row.updated_at is None:
             level = target if not self.weight_sum else min(target, MAX_LEVEL * self.scale(row))
@@ -108,5 +115,7 @@
         mean = self.mean() * row.weight
         if row.updated_at is None:
             return mean
-        part = (now - row.updated_at - self.terms.fresh_for) / max(1, self.terms.silent_after - self.terms.fresh_for)
+        part = (now - row.updated_at - self.terms.fresh_for) / max(
+            1, self.terms.silent_after - self.terms.fresh_for
+        )
         return row.level + (mean - row.level) * min(1.0, part)
--- a/hookrouter/decisions/spread/reported_load.py
+++ b/hookrouter/decisions/spread/reported_load.py
@@ -32,7 +32,13 @@
     __slots__ = ("state", "measured_at", "in_flight", "rate", "received_at")
 
     def __init__(self):
-        self.state, self.measured_at, self.in_flight, self.rate, self.received_at = SILENT, None, 0.0, 0.0, None
+        self.state, self.measured_at, self.in_flight, self.rate, self.received_at = (
+            SILENT,
+            None,
+            0.0,
+            0.0,
+            None,
+        )
 
     def record(self, now, summary, terms):
         """Whether they say more than what is known: older ones than those at hand change nothing."""
--- a/hookrouter/decisions/spread/shares.py
+++ b/hookrouter/decisions/spread/shares.py
@@ -9,7 +9,7 @@
 """
 
 from . import turns
-from .messages import UnitRequest, UnitGrant, Post
+from .messages import Post, UnitGrant, UnitRequest
 
 HELD, ASKED, CEDED, LAPSED = "held", "asked", "ceded", "lapsed"
 GIVE, ASK, GRANTED, EXPIRED = "give", "ask", "got", "over"
@@ -38,7 +38,13 @@
     __slots__ = ("ownership", "state", "expires_at", "number", "last_turn", "turn", "budget", "granted")
 
     def __init__(self, ownership, state, expires_at, number=None, last_turn=-1):
-        self.ownership, self.state, self.expires_at, self.number, self.last_turn = ownership, state, expires_at, number, last_turn
+        self.ownership, self.state, self.expires_at, self.number, self.last_turn = (
+            ownership,
+            state,
+            expires_at,
+            number,
+            last_turn,
+        )
         self.turn, self.budget = -1, 0.0
         self.granted = None  # (asker, its life, its asking, after): a doubled asking gets the same answer
 
@@ -71,12 +77,18 @@
             return
         if wall >= born + cold.span:
             return
-        expires_at = self.started_at + self.cede_duration  # one just started may have ceded its unit in the life before
+        expires_at = (
+            self.started_at + self.cede_duration
+        )  # one just started may have ceded its unit in the life before
         if row is not None and row.own_unit.state != HELD:
-            expires_at = max(expires_at, row.own_unit.expires_at)  # whoever holds it may not have heard of the cache's start
+            expires_at = max(
+                expires_at, row.own_unit.expires_at
+            )  # whoever holds it may not have heard of the cache's start
         own = Unit(OWN, LAPSED if now < expires_at else HELD, expires_at, self.terms.number)
         row = self.rows[cache] = ColdCache(born, weight, cold, own)
-        own.last_turn = turns.open_turn(row, own.number, wall, self.terms)[0]  # Control may have used it alone
+        own.last_turn = turns.open_turn(row, own.number, wall, self.terms)[
+            0
+        ]  # Control may have used it alone
 
     def forget(self, cache):
         self.rows.pop(cache, None)
@@ -139,7 +151,11 @@
         row, posts = self.rows[cache], []
         self.expire(row, now, wall)
         shortfall, row.refusals = row.refusals, 0
-        for recipient in pick(REQUESTS_PER_ROUND) if shortfall and len(row.borrowed_units) + REQUESTS_PER_ROUND <= MAX_BORROWED else ():
+        for recipient in (
+            pick(REQUESTS_PER_ROUND)
+            if shortfall and len(row.borrowed_units) + REQUESTS_PER_ROUND <= MAX_BORROWED
+            else ()
+        ):
             self.requests_made += 1
             unit = row.borrowed_units[self.requests_made] = Unit(BORROWED, LAPSED, now + self.terms.lease)
             self.step(unit, ASK)
@@ -182,7 +198,9 @@
 
     def _grant(self, row, request):
         own = row.own_unit
-        return UnitGrant(request.cache, row.born, request.incarnation, request.number, own.number, own.granted[3])
+        return UnitGrant(
+            request.cache, row.born, request.incarnation, request.number, own.number, own.granted[3]
+        )
 
     def _handle_grant(self, row, grant):
         unit = row.borrowed_units.get(grant.number)
--- a/hookrouter/decisions/spread/spread.py
+++ b/hookrouter/decisions/spread/spread.py
@@ -10,9 +10,9 @@
 
 from ...control.cold import COLD_BURST, COLD_PACE
 from .load_estimates import LoadEstimates
+from .messages import ColdTerms, Message, Post, ProbeResult, SpreadTerms, Started
 from .shares import Shares
 from .trickle import Trickle
-from .messages import ColdTerms, Post, Message, SpreadTerms, Started, ProbeResult
 
 # Times busier. Between them a name at a router has a lead of its own, for good: a cache that is somewhat busy
 # loses some of its lookups, not all at one moment, and the same ones each time.
@@ -27,14 +27,20 @@
 def spread_terms(terms, **more):
     """SpreadTerms from a router's Terms."""
     topology = terms.topology
-    zone_routers, routers = max(1, topology.routers_by_zone[topology.zones.index(topology.zone)]), max(1, topology.routers)
+    zone_routers, routers = (
+        max(1, topology.routers_by_zone[topology.zones.index(topology.zone)]),
+        max(1, topology.routers),
+    )
     turn_work = max([1.0, *(kind.latency_budget for kind in terms.kinds if not kind.write)])
 
     def cold(share, span, multiple, users):
         turn_rate = routers / (users * turn_work)
         pace = multiple * COLD_PACE
         return ColdTerms(
-            share, max(1, span), pace * turn_rate, (multiple - pace) * COLD_BURST * terms.overload_duration * turn_rate
+            share,
+            max(1, span),
+            pace * turn_rate,
+            (multiple - pace) * COLD_BURST * terms.overload_duration * turn_rate,
         )
 
     return SpreadTerms(
@@ -54,7 +60,9 @@
 class Spread:
     """terms: SpreadTerms; me: (name, life) of this member; now: its clock that nobody sets."""
 
-    lead_salt = None  # hashed with a name for its lead: the router's, since one name may be a cache's whole due
+    lead_salt = (
+        None  # hashed with a name for its lead: the router's, since one name may be a cache's whole due
+    )
 
     def __init__(self, terms, member_id, seed, now=0):
         self.terms, self.member_id, self.rng = terms, member_id, Random(seed)
@@ -82,7 +90,11 @@
                 continue
             if cache.machine_type != self.terms.parent_machine_type:
                 self.loads.listed(cache.id, max(cache.weight, 0.01))
-            cold = self.terms.parent_cold if cache.machine_type == self.terms.parent_machine_type else self.terms.cold
+            cold = (
+                self.terms.parent_cold
+                if cache.machine_type == self.terms.parent_machine_type
+                else self.terms.cold
+            )
             if cache.born and cold is not None:
                 self.shares.start(cache.id, cache.born, max(cache.weight, 0.01), cold, now, wall)
 
@@ -106,7 +118,11 @@
         that it is taken to have had. Posts that tell what this router found.
         """
         found = self.trickle.observe(now, cache, aside, attempt)
-        return [] if found is None else [Post(recipient, ProbeResult(cache, found, 0, cold_age)) for recipient in self.members]
+        return (
+            []
+            if found is None
+            else [Post(recipient, ProbeResult(cache, found, 0, cold_age)) for recipient in self.members]
+        )
 
     def tick(self, now, wall):
         """Posts that are due: asks for shares."""
@@ -129,7 +145,11 @@
         """What a finder takes for cold is so for all who did not try, or they would push it over at once."""
         is_sought = self.trickle.rows.get(result.cache) is not None
         self.trickle.receive(now, result.cache, result.healthy, result.age)
-        return [Started(result.cache, result.cold_age + result.age)] if is_sought and result.healthy and result.cold_age >= 0 else []
+        return (
+            [Started(result.cache, result.cold_age + result.age)]
+            if is_sought and result.healthy and result.cold_age >= 0
+            else []
+        )
 
     def _pick_members(self, count):
         return self.rng.sample(self.members, min(count, len(self.members)))
--- a/hookrouter/decisions/spread/trickle.py
+++ b/hookrouter/decisions/spread/trickle.py
@@ -34,7 +34,13 @@
     __slots__ = ("state", "set_aside_at", "last_result_at", "rank", "attempt")
 
     def __init__(self):
-        self.state, self.set_aside_at, self.last_result_at, self.rank, self.attempt = HEALTHY, 0, 0, None, None
+        self.state, self.set_aside_at, self.last_result_at, self.rank, self.attempt = (
+            HEALTHY,
+            0,
+            0,
+            None,
+            None,
+        )
 
 
 class Trickle:
--- a/hookrouter/decisions/warming/__init__.py
+++ b/hookrouter/decisions/warming/__init__.py
@@ -4,27 +4,27 @@
 its owner (plan), and filled in steps (steps) within what the cold cache and the sources bear (pace).
 """
 
-from .doors import Doors
+from .fill_gate import FillGate
 from .lender import Lender
-from .lists import Borrowed
-from .pace import Allowance, Strain, fair
-from .plan import Scene, make
-from .purged import Purged
+from .lists import BorrowedLists
+from .pace import Allowance, OverloadDetector, fair_share
+from .planning import LocationState, make_plan
+from .recent_purges import RecentPurges
 from .sketch import Sketch, Summary, merge
 from .steps import Warming
 
 __all__ = (
     "Allowance",
-    "Borrowed",
-    "Doors",
+    "BorrowedLists",
+    "FillGate",
     "Lender",
-    "Purged",
-    "Scene",
+    "RecentPurges",
+    "LocationState",
     "Sketch",
-    "Strain",
+    "OverloadDetector",
     "Summary",
     "Warming",
-    "fair",
-    "make",
+    "fair_share",
+    "make_plan",
     "merge",
 )
--- a/hookrouter/decisions/warming/lender.py
+++ b/hookrouter/decisions/warming/lender.py
@@ -2,41 +2,47 @@
 
 from . import lists
 
-MOST_COURSES = 64  # of caches warmed lately
-MADE_EVERY = 10_000  # 1 s: a list is made anew no oftener, whoever asks
-MOST_A_SECOND = 8  # lists lent: some 100 kB each, a stated part of its time
+MAX_PLANS = 64  # of caches warmed lately
+REBUILD_INTERVAL = 10_000  # 1 s: a list is made anew no oftener, whoever asks
+MAX_LENT_PER_SECOND = 8  # lists lent: some 100 kB each, a stated part of its time
 
 
 class Lender:
     def __init__(self, sketch, position, now=0):
         """now: since when it is counted. position(): (epoch, number) of the newest purge told."""
-        self.sketch, self.position, self.courses = sketch, position, {}
-        self.made, self.since, self.second, self.lent = None, now, -1, 0
+        self.sketch, self.position, self.plans = sketch, position, {}
+        self.cached_list, self.counted_since, self.second, self.lent_this_second = None, now, -1, 0
 
     def lend(self, now, cache):
         """(Lent or None where it has lent enough this second, the Course kept for that cache or None)."""
         if now // 10_000 != self.second:
-            self.second, self.lent = now // 10_000, 0
-        if self.lent >= MOST_A_SECOND:
-            return None, self.courses.get(cache)
-        self.lent += 1
-        if self.made is None or now - self.made[0] >= MADE_EVERY or self.made[1] != self.position():
+            self.second, self.lent_this_second = now // 10_000, 0
+        if self.lent_this_second >= MAX_LENT_PER_SECOND:
+            return None, self.plans.get(cache)
+        self.lent_this_second += 1
+        if (
+            self.cached_list is None
+            or now - self.cached_list[0] >= REBUILD_INTERVAL
+            or self.cached_list[1] != self.position()
+        ):
             # A list of before a purge says so by its number; one made anew is of more use.
-            self.made = now, self.position(), self.sketch.sure()
-        made, position, summary = self.made
-        return lists.lend(summary, now - made, position, max(1, now - self.since)), self.courses.get(cache)
+            self.cached_list = now, self.position(), self.sketch.lower_bounds()
+        built_at, position, summary = self.cached_list
+        return lists.make_list(
+            summary, now - built_at, position, max(1, now - self.counted_since)
+        ), self.plans.get(cache)
 
-    def lodge(self, course):
+    def store_plan(self, plan):
         """Kept for a successor; an old owner's does not take a newer one's place."""
-        old = self.courses.get(course.cache)
-        if old is not None and old.number > course.number:
+        previous = self.plans.get(plan.cache)
+        if previous is not None and previous.number > plan.number:
             return False
-        self.courses.pop(course.cache, None)
-        self.courses[course.cache] = course
-        if len(self.courses) > MOST_COURSES:
-            del self.courses[next(iter(self.courses))]
+        self.plans.pop(plan.cache, None)
+        self.plans[plan.cache] = plan
+        if len(self.plans) > MAX_PLANS:
+            del self.plans[next(iter(self.plans))]
         return True
 
     def halved(self, now):
         """The sketch has been halved: what is left is of half as long."""
-        self.since += (now - self.since) // 2
+        self.counted_since += (now - self.counted_since) // 2
--- a/hookrouter/decisions/warming/lists.py
+++ b/hookrouter/decisions/warming/lists.py
@@ -11,25 +11,31 @@
 import msgspec
 
 from ...errors.wire import UnusableList
-from . import words as w
+from . import messages
 
-MOST_BYTES = 400_000  # of one list
-MOST_LENDERS = 32
-OLDEST = 600_000  # 1 min: what is older tells of another time of the day
-LIAR = 2.0  # over the number of lenders: the most that one can bring of all weight
+MAX_BYTES = 400_000  # of one list
+MAX_LENDERS = 32
+MAX_AGE = 600_000  # 1 min: what is older tells of another time of the day
+MAX_WEIGHT_FACTOR = 2.0  # over the number of lenders: the most that one can bring of all weight
 
 
-def lend(summary, age, position, span):
+def make_list(summary, age, position, span):
     """A Lent of this router's Summary: the heaviest rows first, ties by name."""
-    rows = sorted(summary.rows.items(), key=lambda item: (-item[1][0], item[0]))[: w.MOST_ROWS]
-    return w.Lent(
+    rows = sorted(summary.rows.items(), key=lambda item: (-item[1][0], item[0]))[: messages.MAX_ROWS]
+    return messages.PopularityList(
         age,
         position[0],
         position[1],
-        int(summary.total * w.THOUSAND),
+        int(summary.total * messages.WEIGHT_SCALE),
         span,
         [
-            w.Row(*name[:2], name[2], group, min(int(size), w.MOST_SIZE), int(count * w.THOUSAND))
+            messages.Row(
+                *name[:2],
+                name[2],
+                group,
+                min(int(size), messages.MAX_SIZE),
+                int(count * messages.WEIGHT_SCALE),
+            )
             for name, (count, size, group) in rows
         ],
     )
@@ -37,74 +43,83 @@
 
 def read(data):
     """A Lent from bytes; UnusableList where it is none, or claims more than its own total."""
-    if len(data) > MOST_BYTES:
-        raise UnusableList(f"a list of {len(data)} bytes, {MOST_BYTES} are the most")
+    if len(data) > MAX_BYTES:
+        raise UnusableList(f"a list of {len(data)} bytes, {MAX_BYTES} are the most")
     try:
-        lent = msgspec.msgpack.decode(data, type=w.Lent)
-    except msgspec.DecodeError as wrong:
-        raise UnusableList(f"a list cannot be read: {wrong}") from None
-    return fit(lent)
+        popularity = msgspec.msgpack.decode(data, type=messages.PopularityList)
+    except msgspec.DecodeError as error:
+        raise UnusableList(f"a list cannot be read: {error}") from None
+    return validate(popularity)
 
 
-def fit(lent):
+def validate(popularity):
     """The list, or UnusableList where it contradicts itself or is too old to be of use."""
-    if lent.age > OLDEST:
+    if popularity.age > MAX_AGE:
         raise UnusableList("a list is older than a minute")
-    if len({row.name for row in lent.rows}) != len(lent.rows):
+    if len({row.name for row in popularity.rows}) != len(popularity.rows):
         raise UnusableList("a list names something twice")
-    if sum(row.weight for row in lent.rows) > lent.total:
+    if sum(row.weight for row in popularity.rows) > popularity.total:
         raise UnusableList("a list claims more than was asked for in all")
-    return lent
+    return popularity
 
 
-class Borrowed:
+class BorrowedLists:
     """The table of lists. A later list of the same lender takes the place of the earlier."""
 
     def __init__(self):
         self.lists = {}  # lender -> Lent
 
-    def take(self, lender, lent):
+    def add(self, lender, popularity):
         """Whether it was taken: no more than so many lenders, the newest list of each."""
-        old = self.lists.get(lender)
-        if old is None and len(self.lists) >= MOST_LENDERS:
+        previous = self.lists.get(lender)
+        if previous is None and len(self.lists) >= MAX_LENDERS:
             return False
-        if old is None or (lent.epoch, lent.purge, -lent.age) >= (old.epoch, old.purge, -old.age):
-            self.lists[lender] = lent
+        if previous is None or (popularity.epoch, popularity.purge, -popularity.age) >= (
+            previous.epoch,
+            previous.purge,
+            -previous.age,
+        ):
+            self.lists[lender] = popularity
         return True
 
-    def share(self):
+    def max_share(self):
         """Of all weight, the most that one lender can bring."""
-        return min(1.0, LIAR / max(1, len(self.lists)))
+        return min(1.0, MAX_WEIGHT_FACTOR / max(1, len(self.lists)))
 
-    def cap(self):
-        return median(lent.total for lent in self.lists.values()) if self.lists else 0
+    def total_cap(self):
+        return median(popularity.total for popularity in self.lists.values()) if self.lists else 0
 
-    def sum(self):
+    def combined(self):
         """{name: Wanted}: weights a unit of time, each lender's capped, and who brings how much of it."""
-        cap, found = self.cap(), {}
+        limit, combined_names = self.total_cap(), {}
         for lender in sorted(self.lists):
-            lent = self.lists[lender]
-            scale = min(1.0, cap / lent.total) / max(1, lent.span) if lent.total else 0.0
-            for row in lent.rows:
-                wanted = found.get(row.name)
-                if wanted is None:
-                    wanted = found[row.name] = Wanted(row.name, row.group)
-                wanted.add(lender, row, row.weight / w.THOUSAND * scale, (lent.epoch, lent.purge))
-        return found
-
-
-class Wanted:
+            popularity = self.lists[lender]
+            scale = min(1.0, limit / popularity.total) / max(1, popularity.span) if popularity.total else 0.0
+            for row in popularity.rows:
+                entry = combined_names.get(row.name)
+                if entry is None:
+                    entry = combined_names[row.name] = PopularName(row.name, row.group)
+                entry.add(
+                    lender,
+                    row,
+                    row.weight / messages.WEIGHT_SCALE * scale,
+                    (popularity.epoch, popularity.purge),
+                )
+        return combined_names
+
+
+class PopularName:
     """A name that was asked for, by all lists together."""
 
-    __slots__ = ("name", "group", "rate", "by", "sizes", "purge")
+    __slots__ = ("name", "group", "rate", "rate_by_lender", "sizes", "purge")
 
     def __init__(self, name, group):
-        self.name, self.group, self.rate, self.by, self.sizes = name, group, 0.0, {}, []
+        self.name, self.group, self.rate, self.rate_by_lender, self.sizes = name, group, 0.0, {}, []
         self.purge = inf, 0  # the oldest list's: what was purged since that is purged, whoever else says less
 
     def add(self, lender, row, rate, purge):
         self.rate += rate
-        self.by[lender] = rate
+        self.rate_by_lender[lender] = rate
         self.purge = min(self.purge, purge)
         if row.size:
             self.sizes.append(row.size)
--- a/hookrouter/decisions/warming/words.py
+++ b/hookrouter/decisions/warming/messages.py
@@ -8,14 +8,14 @@
 
 import msgspec
 
-MOST_ROWS = 4_096  # names in one list: some 200 kB, pulled in pieces
-MOST_STEPS = 256  # of one plan
-MOST_IN_STEP = 64
-MOST_SIZE = 1 << 32  # bytes of one object's part
-MOST = 1 << 53
-THOUSAND = 1_000  # of a lookup, the unit of weights on the wire
-
-Whole = Annotated[int, msgspec.Meta(ge=0, le=MOST)]
+MAX_ROWS = 4_096  # names in one list: some 200 kB, pulled in pieces
+MAX_STEPS = 256  # of one plan
+MAX_NAMES_IN_STEP = 64
+MAX_SIZE = 1 << 32  # bytes of one object's part
+MAX_WHOLE = 1 << 53
+WEIGHT_SCALE = 1_000  # of a lookup, the unit of weights on the wire
+
+Whole = Annotated[int, msgspec.Meta(ge=0, le=MAX_WHOLE)]
 Text = Annotated[str, msgspec.Meta(min_length=1, max_length=256)]
 Name = tuple[Text, Text, Annotated[int, msgspec.Meta(ge=0, le=1 << 31)]]  # object kind, object, part
 
@@ -26,8 +26,8 @@
     kind: Text
     object: Text
     part: Annotated[int, msgspec.Meta(ge=0, le=1 << 31)]
-    group: Annotated[int, msgspec.Meta(ge=0, le=MOST)]
-    size: Annotated[int, msgspec.Meta(ge=0, le=MOST_SIZE)]
+    group: Annotated[int, msgspec.Meta(ge=0, le=MAX_WHOLE)]
+    size: Annotated[int, msgspec.Meta(ge=0, le=MAX_SIZE)]
     weight: Whole
 
     @property
@@ -35,7 +35,7 @@
         return self.kind, self.object, self.part
 
 
-class Lent(msgspec.Struct, array_like=True, frozen=True):
+class PopularityList(msgspec.Struct, array_like=True, frozen=True):
     """A list as its lender has it now. epoch, purge: the newest purge it had been told when this was made."""
 
     age: Whole
@@ -43,17 +43,17 @@
     purge: Whole
     total: Whole  # all that was asked for, named here or not
     span: Whole  # over so much time, what was forgotten by halves counted for what is left of it
-    rows: Annotated[list[Row], msgspec.Meta(max_length=MOST_ROWS)]
+    rows: Annotated[list[Row], msgspec.Meta(max_length=MAX_ROWS)]
 
 
-class Course(msgspec.Struct, array_like=True, frozen=True):
+class WarmupPlan(msgspec.Struct, array_like=True, frozen=True):
     """What the owner of that number is about to do, step by step, for whoever comes after it."""
 
     cache: Text
     number: Whole
     steps: Annotated[
-        list[Annotated[list[Name], msgspec.Meta(max_length=MOST_IN_STEP)]],
-        msgspec.Meta(max_length=MOST_STEPS),
+        list[Annotated[list[Name], msgspec.Meta(max_length=MAX_NAMES_IN_STEP)]],
+        msgspec.Meta(max_length=MAX_STEPS),
     ]
 
 
@@ -68,13 +68,13 @@
     lenders: tuple
 
 
-class Listed(NamedTuple):
+class ListReceived(NamedTuple):
     lender: str
-    lent: Lent | None  # None: it did not answer in time
-    course: Course | None = None
+    popularity: PopularityList | None  # None: it did not answer in time
+    plan: WarmupPlan | None = None
 
 
-class Lodged(NamedTuple):
+class PlanStored(NamedTuple):
     """That lender keeps the course now."""
 
     lender: str
@@ -84,7 +84,7 @@
     """Time has passed, or room came up."""
 
 
-class Ended(NamedTuple):
+class FillEnded(NamedTuple):
     """A fill's end: one of the words below."""
 
     name: tuple
@@ -97,20 +97,20 @@
     step: int
 
 
-class Strained(NamedTuple):
+class OverloadChanged(NamedTuple):
     """Whether lookups or a source suffer."""
 
-    yes: bool
+    overloaded: bool
 
 
-class Over(NamedTuple):
+class Aborted(NamedTuple):
     """No use going on: cause is one of CAUSES."""
 
     cause: str
 
 
 FILLED, HELD_ALREADY, FAILED, OLD_NUMBER = "filled", "held already", "failed", "old number"
-LEFT, DRAINED, FELL, PURGED_ALL, LEASE, TIRED = (
+CACHE_LEFT, DRAINED, CACHE_FAILED, PURGED_ALL, LEASE_OVER, HELD_TOO_LONG = (
     "left",
     "drained",
     "fell",
@@ -118,7 +118,7 @@
     "lease over",
     "held back too long",
 )
-CAUSES = (LEFT, DRAINED, FELL, PURGED_ALL, LEASE, TIRED, OLD_NUMBER)
+CAUSES = (CACHE_LEFT, DRAINED, CACHE_FAILED, PURGED_ALL, LEASE_OVER, HELD_TOO_LONG, OLD_NUMBER)
 
 
 # ---- what it wants done
@@ -145,10 +145,10 @@
     step: int
 
 
-class Lodge(NamedTuple):
+class Store(NamedTuple):
     """The course, to be kept by those who lent."""
 
-    course: Course
+    plan: WarmupPlan
     lenders: tuple
 
 
--- a/hookrouter/decisions/warming/pace.py
+++ b/hookrouter/decisions/warming/pace.py
@@ -2,15 +2,15 @@
 
 from typing import NamedTuple
 
-SILENT = 20_000  # 2 s: older news of the others' lookups is none
-LATE_SHARE = 0.03  # more late lookups than usual, and fills stand back
-CALM_SHARE = 0.01
-BLEND = 1 / 32
-REST = 5_000  # 0.5 s held back at least, so the two states do not flutter
-TURN = 1_000  # 100 ms: a source's odd slots go round
+MAX_REPORT_AGE = 20_000  # 2 s: older news of the others' lookups is none
+LATE_MARGIN = 0.03  # more late lookups than usual, and fills stand back
+CALM_MARGIN = 0.01
+LATE_SMOOTHING = 1 / 32
+MIN_HOLD = 5_000  # 0.5 s held back at least, so the two states do not flutter
+ROTATION_TIME = 1_000  # 100 ms: a source's odd slots go round
 
 
-class Cold(NamedTuple):
+class ColdCapacity(NamedTuple):
     """share: of full capacity at the start; span: to full; pace: work a unit of time at full capacity that
     all routers' sends together may bring; burst: of it, in units of time, that may come at once.
     """
@@ -19,7 +19,7 @@
     span: int
     pace: float
     burst: int
-    kept: float = 0.25  # of the burst stays for lookups: fills never empty it
+    reserved: float = 0.25  # of the burst stays for lookups: fills never empty it
 
 
 class Allowance:
@@ -29,69 +29,74 @@
 
     def __init__(self, terms, born, routers, now):
         self.terms, self.born, self.routers = terms, born, max(1, routers)
-        self.at, self.room = now, 0.0  # a cold cache's bucket starts empty
-        self.others, self.heard = None, None  # work a unit of time of the others' lookups
+        self.refilled_at, self.balance = now, 0.0  # a cold cache's bucket starts empty
+        self.others_rate, self.heard_at = None, None  # work a unit of time of the others' lookups
 
-    def able(self, now):
+    def capacity(self, now):
         terms = self.terms
         return min(1.0, terms.share + (1 - terms.share) * max(0, now - self.born) / terms.span)
 
-    def told(self, now, age, rate):
+    def set_others(self, now, age, rate):
         """Of all other routers' lookups there: work a unit of time, and how old that is."""
-        self._fill_up(now)
-        self.others, self.heard = max(0.0, rate), now - age
+        self._refill(now)
+        self.others_rate, self.heard_at = max(0.0, rate), now - age
 
-    def _fill_up(self, now):
-        if now <= self.at:
+    def _refill(self, now):
+        if now <= self.refilled_at:
             return
-        pace, span = self.terms.pace * self.able(self.at), now - self.at
-        if self.others is None or now - self.heard > SILENT:
+        pace, span = self.terms.pace * self.capacity(self.refilled_at), now - self.refilled_at
+        if self.others_rate is None or now - self.heard_at > MAX_REPORT_AGE:
             pace /= self.routers  # nothing is known of the others: they may use all of their turns
-            self.room += pace * span
+            self.balance += pace * span
         else:
-            self.room += (pace - self.others) * span
-        self.at = now
-        self.room = max(-self.burst(now), min(self.burst(now), self.room))
+            self.balance += (pace - self.others_rate) * span
+        self.refilled_at = now
+        self.balance = max(-self.burst(now), min(self.burst(now), self.balance))
 
     def burst(self, now):
-        return self.terms.pace * self.terms.burst * self.able(now)
+        return self.terms.pace * self.terms.burst * self.capacity(now)
 
-    def looked(self, now, cost):
+    def spend_lookup(self, now, cost):
         """One of this router's lookups went there."""
-        self._fill_up(now)
-        self.room -= cost
+        self._refill(now)
+        self.balance -= cost
 
-    def fill(self, now, cost):
+    def try_fill(self, now, cost):
         """Whether a fill of that work may go now; then it is counted."""
-        self._fill_up(now)
-        if self.room - cost < self.terms.kept * self.burst(now):
+        self._refill(now)
+        if self.balance - cost < self.terms.reserved * self.burst(now):
             return False
-        self.room -= cost
+        self.balance -= cost
         return True
 
 
-class Strain:
+class OverloadDetector:
     """Whether lookups suffer where fills go: their late share against what was usual before."""
 
-    def __init__(self, usual=0.0):
-        self.usual, self.late, self.yes, self.until = usual, usual, False, 0
+    def __init__(self, usual_share=0.0):
+        self.usual_share, self.late_share, self.overloaded, self.held_until = (
+            usual_share,
+            usual_share,
+            False,
+            0,
+        )
 
     def answered(self, now, late):
         """The new state where it changes, else None."""
-        self.late += BLEND * (late - self.late)
-        if not self.yes and self.late > self.usual + LATE_SHARE:
-            self.yes, self.until = True, now + REST
+        self.late_share += LATE_SMOOTHING * (late - self.late_share)
+        if not self.overloaded and self.late_share > self.usual_share + LATE_MARGIN:
+            self.overloaded, self.held_until = True, now + MIN_HOLD
             return True
-        if self.yes and now >= self.until and self.late < self.usual + CALM_SHARE:
-            self.yes = False
+        if self.overloaded and now >= self.held_until and self.late_share < self.usual_share + CALM_MARGIN:
+            self.overloaded = False
             return False
         return None
 
 
-def fair(room, active, place, now):
+def fair_share(slots, active, position, now):
     """Of a source's room for fills, the slots of one of so many warmings at once; their sum is the room.
 
     place: 0 to active - 1, by the order of the duties' names. What does not divide goes round by turns.
     """
-    each, odd = divmod(room, max(1, active))
-    return each + ((place + now // TURN) % max(1, active) < odd)
+    each, remainder = divmod(slots, max(1, active))
+    return each + ((position + now // ROTATION_TIME) % max(1, active) < remainder)
--- a/hookrouter/decisions/warming/stay.py
+++ b/hookrouter/decisions/warming/residence_time.py
@@ -2,11 +2,11 @@
 
 from math import exp
 
-STEPS = 40  # halvings of the stretch in which it lies: to one in a million
-LONGEST = 36_000_000  # 1 h
+BISECTION_STEPS = 40  # halvings of the stretch in which it lies: to one in a million
+MAX_TIME = 36_000_000  # 1 h
 
 
-def stay(rows, room):
+def residence_time(rows, room):
     """The time after which a copy not asked for is gone. rows: (lookups a unit of time, size) of all that is
     asked there; room: of the cache, in the same unit as the sizes. LONGEST where all of it finds room.
     """
@@ -14,10 +14,10 @@
     def filled(span):
         return sum(size * (1 - exp(-rate * span)) for rate, size in rows)
 
-    if filled(LONGEST) <= room:
-        return LONGEST
-    low, high = 0.0, float(LONGEST)
-    for _ in range(STEPS):
+    if filled(MAX_TIME) <= room:
+        return MAX_TIME
+    low, high = 0.0, float(MAX_TIME)
+    for _ in range(BISECTION_STEPS):
         middle = (low + high) / 2
         low, high = (middle, high) if filled(middle) <= room else (low, middle)
     return low
--- a/hookrouter/decisions/warming/sketch.py
+++ b/hookrouter/decisions/warming/sketch.py
@@ -9,8 +9,8 @@
 from heapq import heapify, heappush, heapreplace
 from typing import NamedTuple
 
-KEPT = 4_097  # rows: lists of 4,096, some 2 MB
-HALVED_EVERY = 300_000  # 30 s: what was popular two minutes ago counts a sixteenth
+DEFAULT_CAPACITY = 4_097  # rows: lists of 4,096, some 2 MB
+HALVING_INTERVAL = 300_000  # 30 s: what was popular two minutes ago counts a sixteenth
 
 
 class Summary(NamedTuple):
@@ -18,22 +18,22 @@
 
     total: float
     rows: dict
-    k: int
+    capacity: int
 
     def slack(self):
         """By so much at most each row, and each name that is not in, was asked for more."""
-        return (self.total - sum(row[0] for row in self.rows.values())) / (self.k + 1)
+        return (self.total - sum(row[0] for row in self.rows.values())) / (self.capacity + 1)
 
 
 class Sketch:
     """asked() is on each lookup's path: one look-up in a table for names that are in."""
 
-    def __init__(self, k=KEPT):
-        self.k, self.total, self.entered = k, 0.0, 0
+    def __init__(self, capacity=DEFAULT_CAPACITY):
+        self.capacity, self.total, self.insertions = capacity, 0.0, 0
         self.rows = {}  # name -> [count, size, group, what of the count may be others']
         self.heap = []  # (count when it was looked at last, order of entry, name): counts there lag behind
 
-    def asked(self, name, size, group=0):
+    def record(self, name, size, group=0):
         self.total += 1
         row = self.rows.get(name)
         if row is not None:
@@ -45,19 +45,19 @@
 
     def _enter(self, name, size, group):
         """In place of the least asked for, whose count it takes over: that is the error."""
-        self.entered += 1
-        if len(self.rows) < self.k:
+        self.insertions += 1
+        if len(self.rows) < self.capacity:
             self.rows[name] = [1.0, size, group, 0.0]
-            heappush(self.heap, (1.0, self.entered, name))
+            heappush(self.heap, (1.0, self.insertions, name))
             return
         heap = self.heap
-        count, order, old = heap[0]
-        while self.rows[old][0] != count:  # it was asked for since: to its place
-            heapreplace(heap, (self.rows[old][0], order, old))
-            count, order, old = heap[0]
-        del self.rows[old]
+        count, order, victim = heap[0]
+        while self.rows[victim][0] != count:  # it was asked for since: to its place
+            heapreplace(heap, (self.rows[victim][0], order, victim))
+            count, order, victim = heap[0]
+        del self.rows[victim]
         self.rows[name] = [count + 1, size, group, count]
-        heapreplace(heap, (count + 1, self.entered, name))
+        heapreplace(heap, (count + 1, self.insertions, name))
 
     def halve(self):
         """Forgets by half; the executor's clock says when."""
@@ -68,23 +68,23 @@
         self.heap = [(self.rows[name][0], order, name) for _, order, name in self.heap]
         heapify(self.heap)
 
-    def least(self):
-        return min(row[0] for row in self.rows.values()) if len(self.rows) == self.k else 0.0
+    def min_count(self):
+        return min(row[0] for row in self.rows.values()) if len(self.rows) == self.capacity else 0.0
 
     def summary(self):
         """The rows less the least, as a Summary of one row fewer."""
-        least = self.least()
+        min_count = self.min_count()
         return Summary(
             self.total,
             {
-                name: (count - least, size, group)
+                name: (count - min_count, size, group)
                 for name, (count, size, group, _) in self.rows.items()
-                if count > least
+                if count > min_count
             },
-            self.k - 1,
+            self.capacity - 1,
         )
 
-    def sure(self):
+    def lower_bounds(self):
         """As a Summary to lend: each row less its own error, which is tighter, and does not merge further."""
         return Summary(
             self.total,
@@ -93,18 +93,22 @@
                 for name, (count, size, group, error) in self.rows.items()
                 if count > error
             },
-            self.k - 1,
+            self.capacity - 1,
         )
 
 
-def merge(one, other):
+def merge(first, second):
     """Both as one Summary of the smaller's rows: either way round the same."""
-    k = min(one.k, other.k)
-    rows = dict(one.rows)
-    for name, (count, size, group) in other.rows.items():
+    capacity = min(first.capacity, second.capacity)
+    rows = dict(first.rows)
+    for name, (count, size, group) in second.rows.items():
         if name in rows:
             count, size, group = count + rows[name][0], max(size, rows[name][1]), max(group, rows[name][2])
         rows[name] = count, size, group
-    cut = sorted((row[0] for row in rows.values()), reverse=True)[k] if len(rows) > k else 0.0
-    left = {name: (count - cut, size, group) for name, (count, size, group) in rows.items() if count > cut}
-    return Summary(one.total + other.total, left, k)
+    cutoff = (
+        sorted((row[0] for row in rows.values()), reverse=True)[capacity] if len(rows) > capacity else 0.0
+    )
+    rows_left = {
+        name: (count - cutoff, size, group) for name, (count, size, group) in rows.items() if count > cutoff
+    }
+    return Summary(first.total + second.total, rows_left, capacity)
--- a/hookrouter/decisions/warming/steps.py
+++ b/hookrouter/decisions/warming/steps.py
@@ -8,8 +8,7 @@
 from collections import Counter
 from typing import NamedTuple
 
-from . import plan as planning
-from . import words as w
+from . import messages, planning
 
 NOTED, BORROWING, PLANNED, WARMING, HELD_BACK, DONE, GIVEN_UP = (
     "noted",
@@ -20,7 +19,7 @@
     "done",
     "given up",
 )
-OWNED, CAME, ENOUGH, KEPT, EMPTY, ROOM, ENDED, STRAINED, CALM, OVER, VOID = (
+OWNED, LIST_ARRIVED, ENOUGH, PLAN_KEPT, EMPTY, PROCEED, ENDED, OVERLOADED, RECOVERED, FINISHED, ABORTED = (
     "owned",
     "came",
     "enough",
@@ -34,10 +33,10 @@
     "void",
 )
 
-BORROW_FOR = 5_000  # 0.5 s: who has not lent by then is not waited for
-FAILED_IN_A_ROW = 8  # fills: it has fallen, or what feeds it has
-HELD_FOR = 300_000  # 30 s: what suffers that long will not be helped by waiting, and lookups have warmed it
-MOST_LENDERS = 5  # asked at once: their time is theirs
+BORROW_TIMEOUT = 5_000  # 0.5 s: who has not lent by then is not waited for
+MAX_CONSECUTIVE_FAILURES = 8  # fills: it has fallen, or what feeds it has
+MAX_HOLD = 300_000  # 30 s: what suffers that long will not be helped by waiting, and lookups have warmed it
+MAX_LENDERS = 5  # asked at once: their time is theirs
 
 
 class Terms(NamedTuple):
@@ -46,13 +45,13 @@
     """
 
     cache: str
-    scene: object
+    location: object
     purged: object
-    may: object
-    step: int = planning.STEP
-    lenders: int = MOST_LENDERS
-    borrow_for: int = BORROW_FOR
-    most: int = planning.MOST_NAMES
+    source_for: object
+    step_size: int = planning.STEP_SIZE
+    lenders: int = MAX_LENDERS
+    borrow_timeout: int = BORROW_TIMEOUT
+    max_names: int = planning.MAX_NAMES
 
 
 class Warming:
@@ -61,14 +60,18 @@
     def __init__(self, terms, borrowed):
         self.terms, self.borrowed, self.state = terms, borrowed, NOTED
         self.number = self.done = 0
-        self.asked, self.courses, self.until, self.lent_by = set(), [], 0, ()
-        self.steps, self.at, self.place = [], 0, 0  # the step that is worked, the next name in it
-        self.out, self.struck, self.counts = {}, set(), Counter()
+        self.awaited_peers, self.former_plans, self.deadline, self.peers = set(), [], 0, ()
+        self.steps, self.step_index, self.name_index = (
+            [],
+            0,
+            0,
+        )  # the step that is worked, the next name in it
+        self.in_flight, self.purged_names, self.counts = {}, set(), Counter()
         self.now, self.effects, self.cause = 0, [], ""
-        self.checked, self.failed, self.held_since = (0, 0), 0, 0
-        self.told = 0  # steps that the keepers have as done
+        self.purges_checked, self.consecutive_failures, self.held_since = (0, 0), 0, 0
+        self.recorded_steps = 0  # steps that the keepers have as done
 
-    def take(self, now, event):
+    def handle(self, now, event):
         self.now, self.effects = now, []
         self.events[type(event)](self, event)
         return self.effects
@@ -77,194 +80,203 @@
 
     def _owned(self, event):
         self.number, self.done = event.number, event.done
-        self.lent_by = event.lenders[: self.terms.lenders]
+        self.peers = event.lenders[: self.terms.lenders]
         self._step(OWNED)
 
-    def _listed(self, event):
-        if event.lender not in self.asked:
+    def _list_received(self, event):
+        if event.lender not in self.awaited_peers:
             return
-        self.asked.discard(event.lender)
-        if event.lent is not None:
-            self.borrowed.take(event.lender, event.lent)
-        if event.course is not None and event.course.cache == self.terms.cache:
-            self.courses.append(event.course)
-        self._step(CAME)
+        self.awaited_peers.discard(event.lender)
+        if event.popularity is not None:
+            self.borrowed.add(event.lender, event.popularity)
+        if event.plan is not None and event.plan.cache == self.terms.cache:
+            self.former_plans.append(event.plan)
+        self._step(LIST_ARRIVED)
 
     def _reported(self, event):
-        self.told = max(self.told, event.step)
-        self._step(ROOM)
+        self.recorded_steps = max(self.recorded_steps, event.step)
+        self._step(PROCEED)
 
-    def _lodged(self, event):
-        if event.lender in self.lent_by:
-            self._step(KEPT)
+    def _plan_stored(self, event):
+        if event.lender in self.peers:
+            self._step(PLAN_KEPT)
 
     def _ticked(self, event):
-        if self.state == BORROWING and self.now >= self.until:
-            self.asked.clear()
-        if self.state == HELD_BACK and self.now >= self.held_since + HELD_FOR:
-            self.cause = w.TIRED
-            self._step(VOID)
-        self._step(ROOM)
+        if self.state == BORROWING and self.now >= self.deadline:
+            self.awaited_peers.clear()
+        if self.state == HELD_BACK and self.now >= self.held_since + MAX_HOLD:
+            self.cause = messages.HELD_TOO_LONG
+            self._step(ABORTED)
+        self._step(PROCEED)
 
-    def _strained(self, event):
-        self._step(STRAINED if event.yes else CALM)
+    def _overload_changed(self, event):
+        self._step(OVERLOADED if event.overloaded else RECOVERED)
 
-    def _void(self, event):
+    def _aborted(self, event):
         self.cause = event.cause
-        self._step(VOID)
+        self._step(ABORTED)
 
-    def _ended(self, event):
-        if self.out.pop(event.name, None) is None:
+    def _fill_ended(self, event):
+        if self.in_flight.pop(event.name, None) is None:
             return  # doubled, or of another time
         self.counts[event.end] += 1
-        self.failed = self.failed + 1 if event.end == w.FAILED else 0
-        if event.end == w.OLD_NUMBER or self.failed >= FAILED_IN_A_ROW:
-            self.cause = w.OLD_NUMBER if event.end == w.OLD_NUMBER else w.FELL
-            self._step(VOID)
+        self.consecutive_failures = self.consecutive_failures + 1 if event.end == messages.FAILED else 0
+        if event.end == messages.OLD_NUMBER or self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES:
+            self.cause = messages.OLD_NUMBER if event.end == messages.OLD_NUMBER else messages.CACHE_FAILED
+            self._step(ABORTED)
         else:
             self._step(ENDED)
 
     # ---- the table's loop and effects; an effect may hand back a further input
 
-    def _step(self, word):
-        while word is not None:
-            row = self.table.get((self.state, word))
+    def _step(self, trigger):
+        while trigger is not None:
+            row = self.table.get((self.state, trigger))
             if row is None:
                 return
             self.state, effect = row
-            word = effect(self)
+            trigger = effect(self)
 
     def _borrow(self):
-        self.asked, self.until = set(self.lent_by), self.now + self.terms.borrow_for
-        self.effects += [w.Borrow(lender) for lender in self.lent_by]
-        return self._came()
+        self.awaited_peers, self.deadline = set(self.peers), self.now + self.terms.borrow_timeout
+        self.effects += [messages.Borrow(lender) for lender in self.peers]
+        return self._check_lists()
 
-    def _came(self):
-        return None if self.asked else ENOUGH
+    def _check_lists(self):
+        return None if self.awaited_peers else ENOUGH
 
     def _plan(self):
         """Behind the steps that are done, as those say who kept the former owner's course."""
-        former = self._former()
-        self.done = min(self.done, w.MOST_STEPS)
+        former = self._former_steps()
+        self.done = min(self.done, messages.MAX_STEPS)
         head = [list(step) for step in former[: self.done]]
         head += [[] for _ in range(self.done - len(head))]
         already = frozenset(name for step in head for name in step)
         purged = self.terms.purged
-        entries = planning.make(self.terms.scene(), self.borrowed, purged, already, self.terms.most)
-        self.steps = planning.in_steps(entries, self.terms.step)[: w.MOST_STEPS - self.done]
-        self.at, self.place, self.checked, self.told = 0, 0, purged.newest, self.done
+        entries = planning.make_plan(
+            self.terms.location(), self.borrowed, purged, already, self.terms.max_names
+        )
+        self.steps = planning.in_steps(entries, self.terms.step_size)[: messages.MAX_STEPS - self.done]
+        self.step_index, self.name_index, self.purges_checked, self.recorded_steps = (
+            0,
+            0,
+            purged.newest,
+            self.done,
+        )
         if not self.steps:
             return EMPTY
-        course = w.Course(
+        plan = messages.WarmupPlan(
             self.terms.cache, self.number, head + [[entry.name for entry in step] for step in self.steps]
         )
-        self.effects.append(w.Lodge(course, self.lent_by))
-        self.until = self.now + self.terms.borrow_for
-        return None if self.lent_by else KEPT
+        self.effects.append(messages.Store(plan, self.peers))
+        self.deadline = self.now + self.terms.borrow_timeout
+        return None if self.peers else PLAN_KEPT
 
-    def _wait_kept(self):
+    def _await_plan_stored(self):
         """No fill before someone else keeps the course; where nobody answers, the cache's own word that it
         holds a name already is what is left against repeats.
         """
-        return KEPT if self.now >= self.until else None
+        return PLAN_KEPT if self.now >= self.deadline else None
 
-    def _former(self):
+    def _former_steps(self):
         """The steps of the newest owner's course before this; where two differ, of what more lenders keep."""
-        courses = [course for course in self.courses if course.number < self.number]
-        if not courses:
+        plans = [plan for plan in self.former_plans if plan.number < self.number]
+        if not plans:
             return []
-        votes = Counter((course.number, repr(course.steps)) for course in courses)
-        number, told = max(votes, key=lambda key: (key[0], votes[key], key[1]))
-        return next(c.steps for c in courses if c.number == number and repr(c.steps) == told)
+        votes = Counter((plan.number, repr(plan.steps)) for plan in plans)
+        number, chosen = max(votes, key=lambda key: (key[0], votes[key], key[1]))
+        return next(
+            former.steps for former in plans if former.number == number and repr(former.steps) == chosen
+        )
 
     def _fill(self):
         """What may go now of the step that is worked. The next begins when all of this have ended, and the
         keepers know: else a successor would repeat more than one.
         """
-        if self.told < self.done:
+        if self.recorded_steps < self.done:
             return None
-        if not self._strike():
-            self.cause = w.PURGED_ALL
-            return VOID
-        step = self.steps[self.at]
-        while self.place < len(step):
-            entry = step[self.place]
-            if entry.name in self.struck:
+        if not self._drop_purged():
+            self.cause = messages.PURGED_ALL
+            return ABORTED
+        step = self.steps[self.step_index]
+        while self.name_index < len(step):
+            entry = step[self.name_index]
+            if entry.name in self.purged_names:
                 self.counts["purged"] += 1
             else:
-                source = self.terms.may(entry, self.out)
+                source = self.terms.source_for(entry, self.in_flight)
                 if source is False:
                     break  # no room now, at the target or at its source
-                self.out[entry.name] = entry
-                self.effects.append(w.Fill(entry.name, entry.group, entry.size, source, self.number))
-            self.place += 1
-        return self._look()
+                self.in_flight[entry.name] = entry
+                self.effects.append(messages.Fill(entry.name, entry.group, entry.size, source, self.number))
+            self.name_index += 1
+        return self._finish_step()
 
-    def _strike(self):
+    def _drop_purged(self):
         """What was purged since the last look is not filled; False where that is not known any more."""
-        purged, since = self.terms.purged, self.checked
+        purged, since = self.terms.purged, self.purges_checked
         if purged.newest == since:
             return True
-        self.checked = purged.newest
-        left = [entry for step in self.steps[self.at :] for entry in step]
-        self.struck |= purged.struck(left, since)
+        self.purges_checked = purged.newest
+        remaining = [entry for step in self.steps[self.step_index :] for entry in step]
+        self.purged_names |= purged.purged_among(remaining, since)
         return purged.since(since) is not None
 
-    def _look(self):
-        if self.out or self.place < len(self.steps[self.at]):
+    def _finish_step(self):
+        if self.in_flight or self.name_index < len(self.steps[self.step_index]):
             return None
         self.done += 1
-        self.effects.append(w.Report(self.number, self.done))
-        self.at, self.place = self.at + 1, 0
-        return OVER if self.at == len(self.steps) else None
+        self.effects.append(messages.Report(self.number, self.done))
+        self.step_index, self.name_index = self.step_index + 1, 0
+        return FINISHED if self.step_index == len(self.steps) else None
 
     def _hold(self):
         self.held_since = self.now
 
     def _finish(self):
-        self.effects.append(w.Closed(DONE, ""))
+        self.effects.append(messages.Closed(DONE, ""))
 
     def _give_up(self):
-        self.out.clear()
-        self.effects.append(w.Closed(GIVEN_UP, self.cause))
+        self.in_flight.clear()
+        self.effects.append(messages.Closed(GIVEN_UP, self.cause))
 
-    def _more(self):
-        return ROOM
+    def _proceed(self):
+        return PROCEED
 
-    def _nothing(self):
+    def _no_effect(self):
         return None
 
 
 # state, input -> next state, effect; what is not named changes nothing
 TABLE = {
     (NOTED, OWNED): (BORROWING, Warming._borrow),
-    (BORROWING, CAME): (BORROWING, Warming._came),
-    (BORROWING, ROOM): (BORROWING, Warming._came),
+    (BORROWING, LIST_ARRIVED): (BORROWING, Warming._check_lists),
+    (BORROWING, PROCEED): (BORROWING, Warming._check_lists),
     (BORROWING, ENOUGH): (PLANNED, Warming._plan),
     (PLANNED, EMPTY): (DONE, Warming._finish),
-    (PLANNED, KEPT): (WARMING, Warming._fill),
-    (PLANNED, ROOM): (PLANNED, Warming._wait_kept),
-    (WARMING, ROOM): (WARMING, Warming._fill),
-    (WARMING, ENDED): (WARMING, Warming._more),
-    (WARMING, STRAINED): (HELD_BACK, Warming._hold),
-    (WARMING, VOID): (GIVEN_UP, Warming._give_up),
-    (WARMING, OVER): (DONE, Warming._finish),
-    (HELD_BACK, ENDED): (HELD_BACK, Warming._nothing),
-    (HELD_BACK, CALM): (WARMING, Warming._fill),
-    (NOTED, VOID): (GIVEN_UP, Warming._give_up),
-    (BORROWING, VOID): (GIVEN_UP, Warming._give_up),
-    (PLANNED, VOID): (GIVEN_UP, Warming._give_up),
-    (HELD_BACK, VOID): (GIVEN_UP, Warming._give_up),
+    (PLANNED, PLAN_KEPT): (WARMING, Warming._fill),
+    (PLANNED, PROCEED): (PLANNED, Warming._await_plan_stored),
+    (WARMING, PROCEED): (WARMING, Warming._fill),
+    (WARMING, ENDED): (WARMING, Warming._proceed),
+    (WARMING, OVERLOADED): (HELD_BACK, Warming._hold),
+    (WARMING, ABORTED): (GIVEN_UP, Warming._give_up),
+    (WARMING, FINISHED): (DONE, Warming._finish),
+    (HELD_BACK, ENDED): (HELD_BACK, Warming._no_effect),
+    (HELD_BACK, RECOVERED): (WARMING, Warming._fill),
+    (NOTED, ABORTED): (GIVEN_UP, Warming._give_up),
+    (BORROWING, ABORTED): (GIVEN_UP, Warming._give_up),
+    (PLANNED, ABORTED): (GIVEN_UP, Warming._give_up),
+    (HELD_BACK, ABORTED): (GIVEN_UP, Warming._give_up),
 }
 
 EVENTS = {
-    w.Owned: Warming._owned,
-    w.Listed: Warming._listed,
-    w.Lodged: Warming._lodged,
-    w.Tick: Warming._ticked,
-    w.Ended: Warming._ended,
-    w.Reported: Warming._reported,
-    w.Strained: Warming._strained,
-    w.Over: Warming._void,
+    messages.Owned: Warming._owned,
+    messages.ListReceived: Warming._list_received,
+    messages.PlanStored: Warming._plan_stored,
+    messages.Tick: Warming._ticked,
+    messages.FillEnded: Warming._fill_ended,
+    messages.Reported: Warming._reported,
+    messages.OverloadChanged: Warming._overload_changed,
+    messages.Aborted: Warming._aborted,
 }
 Warming.table, Warming.events = TABLE, EVENTS
--- a/hookrouter/desk/admission.py
+++ b/hookrouter/desk/admission.py
@@ -14,8 +14,7 @@
 from twisted.internet.interfaces import IReactorTime
 from twisted.web import server
 
-from ..decisions.admission import Arrival, Gate, Terms, tickets
-from ..decisions.admission import messages
+from ..decisions.admission import Arrival, Gate, Terms, messages, tickets
 from ..feed.purges import steady
 from ..log import Log
 from ..purges import tail as t
@@ -50,7 +49,9 @@
         """publisher: the Desk or Relay; its followers are those that will come. elsewhere: see Gate."""
         section = sections["admission"]
         secret = section["secret"] or sections["purges"]["secret"]
-        terms = Terms(name, int(time.time() * 1_000), tickets.derive_key(secret.value), section["share"] / 100)
+        terms = Terms(
+            name, int(time.time() * 1_000), tickets.derive_key(secret.value), section["share"] / 100
+        )
         self.reactor, self.log, self.publisher = reactor, log, publisher
         known = len(publisher.followers.rows)
         self.gate = Gate(terms, steady(), known, Random(), elsewhere)
@@ -96,7 +97,11 @@
         """By what it costs: a long tail is no cheaper than a snapshot."""
         tail = self.publisher.tail
         short = tail.newest.n - asked.position.n <= SHORT
-        return messages.TAIL if short and tail.place(asked.position, asked.seen) == t.RESUME else messages.SNAPSHOT
+        return (
+            messages.TAIL
+            if short and tail.place(asked.position, asked.seen) == t.RESUME
+            else messages.SNAPSHOT
+        )
 
     def _gone(self, conn: int) -> None:
         if self.conns.pop(conn, None) is not None:
--- a/hookrouter/feed/paced.py
+++ b/hookrouter/feed/paced.py
@@ -40,7 +40,9 @@
         """(seconds until the next connection, whether the gateway stays the same). sent: elsewhere."""
         fields, self.answer = self.answer, None
         if fields is None:
-            pause = self.comer.step(reconnect.ENDED if self.comer.state == reconnect.UP else reconnect.NO_ANSWER)
+            pause = self.comer.step(
+                reconnect.ENDED if self.comer.state == reconnect.UP else reconnect.NO_ANSWER
+            )
             return (reconnect.MIN_PAUSE if pause is None else pause) / SECOND, False
         ticket = fields.get(b"x-ticket", b"").decode("latin-1")
         wait = self.comer.step(
--- a/hookrouter/fleet/member/warmed.py
+++ b/hookrouter/fleet/member/warmed.py
@@ -2,11 +2,18 @@
 
 from ... import interface
 from ...caches.errands import Errand
-from ...decisions.warming import Allowance, Borrowed, Doors, Scene, Strain, Warming
-from ...decisions.warming import steps as s
-from ...decisions.warming import words as w
-from ...decisions.warming.pace import Cold
-from ...decisions.warming.plan import Kind
+from ...decisions.warming import (
+    Allowance,
+    BorrowedLists,
+    FillGate,
+    LocationState,
+    OverloadDetector,
+    Warming,
+    messages,
+    steps,
+)
+from ...decisions.warming.pace import ColdCapacity
+from ...decisions.warming.planning import Kind
 
 TICK = 0.02  # seconds
 FILL_WITHIN = 40_000  # 4 s: what takes longer helps nobody
@@ -26,13 +33,13 @@
         self.flow = terms.topology.answer_rate / 10  # bytes in a tenth of a millisecond, one transfer
         allowance = None
         if row.born:
-            cold = Cold(
+            cold = ColdCapacity(
                 terms.cold_share, terms.cold_duration, terms.overload_multiple * PACE * row.weight, BURST
             )
             allowance = Allowance(cold, row.born, self._crew(), now)
-        self.allowance, self.strain = allowance, Strain(USUAL)
-        self.doors = Doors(cache, allowance, warmer.section["slots"])
-        self.doors.work = 1 / self.flow
+        self.allowance, self.strain = allowance, OverloadDetector(USUAL)
+        self.doors = FillGate(cache, allowance, warmer.section["slots"])
+        self.doors.work_per_byte = 1 / self.flow
         self.kinds = {
             kind.name: Kind(
                 kind.idempotency == interface.IDEMPOTENT and not kind.write,
@@ -43,15 +50,17 @@
             for kind in terms.kinds
         }
         self.table = Warming(
-            s.Terms(cache, self._scene, self.heed.purged, self.doors.may, lenders=warmer.section["lenders"]),
-            Borrowed(),
+            steps.Terms(
+                cache, self._scene, self.heed.purged, self.doors.source_for, lenders=warmer.section["lenders"]
+            ),
+            BorrowedLists(),
         )
 
     def _crew(self):
         return max(1, len(self.warmer.sharing.neighbours()) + 1)
 
     def begin(self, done):
-        self.take(w.Owned(self.number, done, self.warmer.lenders(self.cache)))
+        self.take(messages.Owned(self.number, done, self.warmer.lenders(self.cache)))
         self._tick()
 
     # ---- the location
@@ -60,7 +69,7 @@
         heed, now = self.heed, self.warmer.now()
         after, past = heed.edges(self.zone, now), heed.edges(self.zone, now, settled=True)
         before = tuple(name for name in after if name != self.cache)
-        return Scene(
+        return LocationState(
             self.cache,
             before,
             after,
@@ -84,29 +93,29 @@
         """The list of caches has changed."""
         row, now = self.heed.caches.get(self.cache), self.warmer.now()
         if row is None:
-            self.take(w.Over(w.LEFT))
+            self.take(messages.Aborted(messages.CACHE_LEFT))
         elif row.phase != interface.READY:
-            self.take(w.Over(w.DRAINED))
+            self.take(messages.Aborted(messages.DRAINED))
         elif self.allowance is not None and row.born > self.allowance.born:
-            self.take(w.Over(w.FELL))  # it started anew: that is another warming
+            self.take(messages.Aborted(messages.CACHE_FAILED))  # it started anew: that is another warming
         else:
-            self.doors.told(
+            self.doors.update(
                 now, True, self._warm(now), self.heed.parents(now), *self.warmer.place(self.cache)
             )
 
     def others(self, summary):
         if self.allowance is not None and summary is not None:
             work = self.heed.mean / self.flow
-            self.allowance.told(self.warmer.now(), summary.age, summary.others_rate * work / 10_000)
+            self.allowance.set_others(self.warmer.now(), summary.age, summary.others_rate * work / 10_000)
 
     def looked_up(self, size):
         if self.allowance is not None:
-            self.allowance.looked(self.warmer.now(), size / self.flow)
+            self.allowance.spend_lookup(self.warmer.now(), size / self.flow)
 
     def answered(self, late):
         changed = self.strain.answered(self.warmer.now(), late)
         if changed is not None:
-            self.take(w.Strained(changed))
+            self.take(messages.OverloadChanged(changed))
 
     # ---- the table
 
@@ -114,14 +123,14 @@
         if self.stopped:
             return
         now = self.warmer.now()
-        self.doors.at(now)
-        for effect in self.table.take(now, event):
+        self.doors.set_time(now)
+        for effect in self.table.handle(now, event):
             EFFECTS[type(effect)](self, effect)
 
     def _tick(self):
         if not self.stopped:
             self.looked()
-            self.take(w.Tick())
+            self.take(messages.Tick())
             self.warmer.reactor.callLater(TICK, self._tick)
 
     def _borrow(self, effect):
@@ -129,10 +138,10 @@
         self.warmer.reactor.callLater(0, self.warmer.borrow, effect.lender, self.cache, self._came)
 
     def _came(self, lender, lent, course):
-        self.take(w.Listed(lender, lent, course))
+        self.take(messages.ListReceived(lender, lent, course))
 
     def _lodge(self, effect):
-        self.warmer.lodge(effect.course, effect.lenders)
+        self.warmer.lodge(effect.plan, effect.lenders)
 
     def _report(self, effect):
         self.warmer.report(self, effect.step)
@@ -150,7 +159,7 @@
         """After any wait the first act is to look at the clock: no fill but by a live warrant."""
         act = self.warrant.act(self.warmer.clock(), effect)
         if act is None:
-            self.warmer.reactor.callLater(0, self.take, w.Over(w.LEASE))
+            self.warmer.reactor.callLater(0, self.take, messages.Aborted(messages.LEASE_OVER))
             return
         kind_name, object, part = effect.name
         kind, now = self.router.kinds[kind_name], self.warmer.now()
@@ -187,22 +196,22 @@
 
     def _ended(self, ended, effect):
         if ended.refused:
-            end = w.OLD_NUMBER
+            end = messages.OLD_NUMBER
         elif ended.end != interface.SATISFIED:
-            end = w.FAILED
+            end = messages.FAILED
         else:
-            end = w.HELD_ALREADY if ended.note == interface.FOUND else w.FILLED
+            end = messages.HELD_ALREADY if ended.note == interface.FOUND else messages.FILLED
         self.warmer.count("warming_" + end.replace(" ", "_"))
-        self.take(w.Ended(effect.name, end))
+        self.take(messages.FillEnded(effect.name, end))
 
     def counts(self):
         return {word.replace(" ", "_"): count for word, count in sorted(self.table.counts.items())}
 
 
 EFFECTS = {
-    w.Borrow: Warmed._borrow,
-    w.Lodge: Warmed._lodge,
-    w.Report: Warmed._report,
-    w.Closed: Warmed._closed,
-    w.Fill: Warmed._fill,
+    messages.Borrow: Warmed._borrow,
+    messages.Store: Warmed._lodge,
+    messages.Report: Warmed._report,
+    messages.Closed: Warmed._closed,
+    messages.Fill: Warmed._fill,
 }
--- a/hookrouter/fleet/member/warming.py
+++ b/hookrouter/fleet/member/warming.py
@@ -3,8 +3,7 @@
 import msgspec
 
 from ...decisions.owners.duties import DECLARE, DONE, DROP
-from ...decisions.warming import Lender, lists
-from ...decisions.warming import words as w
+from ...decisions.warming import Lender, lists, messages
 from ...decisions.warming.rank import rank
 from ...errors.wire import DutyLost, UnusableList
 from ...feed.purges import steady
@@ -23,19 +22,19 @@
 
 
 class Popular(msgspec.Struct, array_like=True, frozen=True):
-    lent: w.Lent | None
-    courses: list[w.Course]
+    lent: messages.PopularityList | None
+    courses: list[messages.WarmupPlan]
 
 
 class Note(msgspec.Struct, array_like=True, frozen=True):
     """One has a course to be kept, or keeps it now."""
 
-    cache: w.Text
-    number: w.Whole
+    cache: messages.Text
+    number: messages.Whole
 
 
 read_popular = msgspec.msgpack.Decoder(Popular).decode
-read_courses = msgspec.msgpack.Decoder(list[w.Course]).decode
+read_courses = msgspec.msgpack.Decoder(list[messages.WarmupPlan]).decode
 read_note = msgspec.msgpack.Decoder(Note).decode
 
 
@@ -64,7 +63,7 @@
 
     def _popular(self):
         lent, _ = self.lender.lend(self.now(), "")
-        return encode(Popular(lent, list(self.lender.courses.values())))
+        return encode(Popular(lent, list(self.lender.plans.values())))
 
     def _offered(self, now, name, life, data):
         """Someone is about to warm: its course is kept here for whoever comes after it."""
@@ -82,7 +81,7 @@
             self.count("warming_malformed")
             return
         for course in found[:16]:
-            if course.cache == note.cache and course.number == note.number and self.lender.lodge(course):
+            if course.cache == note.cache and course.number == note.number and self.lender.store_plan(course):
                 self.sharing.post(name, KEPT, encode(note))
 
     def _kept(self, now, name, life, data):
@@ -93,7 +92,7 @@
             return
         warmed = self.at_work.get(note.cache)
         if warmed is not None and warmed.number == note.number:
-            warmed.take(w.Lodged(name))
+            warmed.take(messages.PlanStored(name))
 
     def news(self, now, summary):
         """Of all others' sends at a cache, from sharing."""
@@ -156,7 +155,7 @@
     def lost(self, duty):
         warmed = self.at_work.get(duty.removeprefix(f"{self.sort}/"))
         if warmed is not None:
-            warmed.take(w.Over(w.LEASE))
+            warmed.take(messages.Aborted(messages.LEASE_OVER))
 
     def lenders(self, cache):
         """Whom to ask, by the shared hash, so that a successor asks the same: routers of the zone."""
@@ -175,7 +174,7 @@
             if data is not None:
                 told = read_popular(data)
                 course = next((one for one in told.courses if one.cache == cache), None)
-                lent = told.lent and lists.fit(told.lent)
+                lent = told.lent and lists.validate(told.lent)
         except (msgspec.MsgspecError, UnusableList) as wrong:
             self.log("a neighbour's list was put aside", f"{lender}: {wrong}", level="warn")
             self.count("warming_lists_unfit")
@@ -185,7 +184,7 @@
         self.own[course.cache] = course
         for lender in lenders:
             if lender == self.member.name:
-                self.lender.lodge(course)  # others keep it, or it is lost with this process
+                self.lender.store_plan(course)  # others keep it, or it is lost with this process
             else:
                 self.sharing.post(lender, COURSE, encode(Note(course.cache, course.number)))
 
@@ -196,9 +195,9 @@
 
     def _told(self, result, warmed, step):
         if result[0] == "done" or (result[0] == "out of order" and result[2] >= step):
-            warmed.take(w.Reported(step))
+            warmed.take(messages.Reported(step))
         else:
-            warmed.take(w.Over(w.LEASE))
+            warmed.take(messages.Aborted(messages.LEASE_OVER))
 
     def closed(self, warmed, state, cause):
         """The duty goes where its work is over, and stays for a successor where only this owner is out."""
@@ -213,7 +212,7 @@
             number=warmed.number,
             **dict(warmed.counts()),
         )
-        if cause not in (w.LEASE, w.OLD_NUMBER):
+        if cause not in (messages.LEASE_OVER, messages.OLD_NUMBER):
             # Those that saw the start a little later must find that the duty is there.
             self.reactor.callLater(DROP_AFTER, self._drop, warmed.warrant.duty)
 
@@ -222,7 +221,7 @@
 
     def place(self, cache):
         """(how many warmings this router knows of, which this is): sources' room is shared out so."""
-        names = sorted({*self.at_work, *self.lender.courses} & set(self.heed.caches) | {cache})
+        names = sorted({*self.at_work, *self.lender.plans} & set(self.heed.caches) | {cache})
         cold = [name for name in names if name == cache or self.heed.cold(self.heed.caches[name], self.now())]
         return len(cold), cold.index(cache)
 
--- a/hookrouter/node/heed.py
+++ b/hookrouter/node/heed.py
@@ -4,8 +4,8 @@
 """
 
 from .. import interface
-from ..decisions.warming import Purged, Sketch
-from ..decisions.warming.sketch import HALVED_EVERY
+from ..decisions.warming import RecentPurges, Sketch
+from ..decisions.warming.sketch import HALVING_INTERVAL
 from ..terms import SECOND
 
 BYTES = 1_000  # of a KB as clients tell sizes
@@ -20,7 +20,7 @@
 
     def __init__(self, router, tags=None):
         self.router, self.terms = router, router.terms
-        self.sketch, self.purged = Sketch(), Purged(tags)
+        self.sketch, self.purged = Sketch(), RecentPurges(tags)
         self.halve_at, self.halved = 0, lambda now: None
         self.mean, self.caches, self.since, self.dropped = MEAN, {}, {}, {}
         self.on_list = self.on_late = self.on_sent = None
@@ -46,12 +46,12 @@
         size = int(asked.size * BYTES)
         if size:
             self.mean += BLEND * (size - self.mean)
-        self.sketch.asked((asked.kind, asked.object, asked.part), size, asked.group)
+        self.sketch.record((asked.kind, asked.object, asked.part), size, asked.group)
         if now >= self.halve_at:
             if self.halve_at:
                 self.sketch.halve()
                 self.halved(now)
-            self.halve_at = now + HALVED_EVERY
+            self.halve_at = now + HALVING_INTERVAL
 
     def listed(self, event, first):
         """The feed's list: caches of this router's deployment, with where and what they are."""
@@ -73,7 +73,7 @@
 
     def told(self, purge):
         """One of the fleet-wide purges, in their order."""
-        self.purged.told(purge)
+        self.purged.add(purge)
 
     def dropped_at(self, event, made):
         """A purge of the platform's own feed: without a number, so it counts by its time."""
--- a/tests/admission_mistakes.py
+++ b/tests/admission_mistakes.py
@@ -2,8 +2,7 @@
 
 import msgspec
 
-from hookrouter.decisions.admission import Reconnector, Gate, tickets
-from hookrouter.decisions.admission import messages
+from hookrouter.decisions.admission import Gate, Reconnector, messages, tickets
 from hookrouter.decisions.admission.gate import BUCKET_SIZE
 from hookrouter.decisions.admission.overflow import Overflow
 from hookrouter.decisions.admission.queue import FORMER, URGENT
@@ -23,7 +22,10 @@
     def arrived(self, now, arrival):
         if arrival.ticket:
             try:
-                if tickets.read(self.terms.seal_key, arrival.ticket, arrival.name).incarnation != self.terms.incarnation:
+                if (
+                    tickets.read(self.terms.seal_key, arrival.ticket, arrival.name).incarnation
+                    != self.terms.incarnation
+                ):
                     return [messages.Close(arrival.conn, "a former life")]
             except ValueError:
                 pass
@@ -51,7 +53,11 @@
 class UnsealedAccepted(Gate):
     def _read_ticket(self, arrival):
         try:
-            return tickets._decode(bytes.fromhex(arrival.ticket)[tickets.SEAL_BYTES :]) if arrival.ticket else None
+            return (
+                tickets._decode(bytes.fromhex(arrival.ticket)[tickets.SEAL_BYTES :])
+                if arrival.ticket
+                else None
+            )
         except (ValueError, msgspec.MsgspecError):
             return None
 
@@ -77,7 +83,10 @@
 
 class LateUnsaid(Gate):
     def arrived(self, now, arrival):
-        return [e._replace(late=False) if isinstance(e, messages.Defer) else e for e in super().arrived(now, arrival)]
+        return [
+            e._replace(late=False) if isinstance(e, messages.Defer) else e
+            for e in super().arrived(now, arrival)
+        ]
 
     def tick(self, now):
         return [e._replace(late=False) if isinstance(e, messages.Defer) else e for e in super().tick(now)]
--- a/tests/spread_mistakes.py
+++ b/tests/spread_mistakes.py
@@ -2,7 +2,7 @@
 
 from hookrouter.decisions.spread import Spread, reported_load, shares, trickle
 from hookrouter.decisions.spread.load_estimates import LoadEstimates
-from hookrouter.decisions.spread.shares import HELD, BORROWED, Shares, Unit
+from hookrouter.decisions.spread.shares import BORROWED, HELD, Shares, Unit
 
 
 class LapsedStillSpent(Shares):
@@ -11,7 +11,9 @@
     def expire(self, row, now, wall):
         lent, row.borrowed_units = row.borrowed_units, {}
         super().expire(row, now, wall)
-        row.borrowed_units = {number: unit for number, unit in lent.items() if unit.state == HELD or now < unit.expires_at}
+        row.borrowed_units = {
+            number: unit for number, unit in lent.items() if unit.state == HELD or now < unit.expires_at
+        }
 
 
 class CountedTwice(Shares):
@@ -77,7 +79,9 @@
     """The turn that is open when a unit changes hands is the receiver's too."""
 
     def _handle_grant(self, row, grant):
-        return super()._handle_grant(row, shares.UnitGrant(grant.cache, grant.born, grant.incarnation, grant.number, grant.unit, -1))
+        return super()._handle_grant(
+            row, shares.UnitGrant(grant.cache, grant.born, grant.incarnation, grant.number, grant.unit, -1)
+        )
 
 
 class OldCedeTaken(Shares):
@@ -86,9 +90,14 @@
     def _handle_grant(self, row, grant):
         if grant.number not in row.borrowed_units or row.borrowed_units[grant.number].state != shares.ASKED:
             self.requests_made += 1
-            row.borrowed_units[grant.number] = Unit(BORROWED, shares.ASKED, self.requests_made and row.own_unit.expires_at + (1 << 40))
+            row.borrowed_units[grant.number] = Unit(
+                BORROWED, shares.ASKED, self.requests_made and row.own_unit.expires_at + (1 << 40)
+            )
         return super()._handle_grant(
-            row, shares.UnitGrant(grant.cache, grant.born, self.incarnation, grant.number, grant.unit, grant.last_turn)
+            row,
+            shares.UnitGrant(
+                grant.cache, grant.born, self.incarnation, grant.number, grant.unit, grant.last_turn
+            ),
         )
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -12,8 +12,7 @@
 from benchmarks.admission.model import Bounds, search
 from benchmarks.admission.scenes import KEY, scenes_of
 from benchmarks.admission.schedule import play
-from hookrouter.decisions.admission import Reconnector, tickets
-from hookrouter.decisions.admission import reconnect
+from hookrouter.decisions.admission import Reconnector, reconnect, tickets
 from hookrouter.errors.wire import InvalidTicket
 from hookrouter.site import InvalidSiteFile, read_text
 
@@ -29,7 +28,9 @@
 
 @pytest.mark.parametrize("first", range(0, 45, 15))
 def test_seeded_storms_break_no_rule_and_all_come_back(first_seed):
-    broken = {seed: breaks[:2] for seed in range(first_seed, first_seed + 15) if (breaks := play(seed).judge.breaks)}
+    broken = {
+        seed: breaks[:2] for seed in range(first_seed, first_seed + 15) if (breaks := play(seed).judge.breaks)
+    }
     assert broken == {}
 
 
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -8,7 +8,7 @@
 from hookrouter import interface
 from hookrouter.control import Control
 from hookrouter.decisions.spread import Spread, spread_terms
-from hookrouter.decisions.spread.messages import UnitRequest, UnitGrant, Started, ProbeResult
+from hookrouter.decisions.spread.messages import ProbeResult, Started, UnitGrant, UnitRequest
 from hookrouter.site import InvalidSiteFile, read_text
 
 NOW = 1_000_000
@@ -93,7 +93,9 @@
     assert owner.allowance("c0", wall, 1.0) is False
     for _ in range(2):
         asker.receive(wall, wall, "r1", encode(ceded[0].message))
-    assert [unit.number for unit in asker.shares.rows["c0"].borrowed_units.values() if unit.state == "held"] == [1]
+    assert [
+        unit.number for unit in asker.shares.rows["c0"].borrowed_units.values() if unit.state == "held"
+    ] == [1]
     later = wall + asker.terms.lease
     asker.shares.expire(asker.shares.rows["c0"], later, later)
     owner.shares.expire(owner.shares.rows["c0"], later, later)
--- a/tests/test_warming.py
+++ b/tests/test_warming.py
@@ -11,19 +11,19 @@
 
 from hookrouter.decisions.warming import (
     Allowance,
-    Borrowed,
-    Purged,
-    Scene,
+    BorrowedLists,
+    LocationState,
+    RecentPurges,
     Sketch,
-    fair,
+    fair_share,
     lists,
-    make,
+    make_plan,
     merge,
+    messages,
 )
-from hookrouter.decisions.warming import words as w
-from hookrouter.decisions.warming.pace import Cold
-from hookrouter.decisions.warming.plan import STEP, Kind, gains
-from hookrouter.decisions.warming.rank import hashed, rank
+from hookrouter.decisions.warming.pace import ColdCapacity
+from hookrouter.decisions.warming.planning import STEP_SIZE, Kind, newly_kept
+from hookrouter.decisions.warming.rank import hash_key, rank
 from hookrouter.errors.wire import UnusableList
 from hookrouter.purges.types import Purge
 
@@ -31,13 +31,13 @@
 asks = st.lists(st.integers(0, 39), max_size=300)
 
 
-def sketched(numbers, k=8, halve_at=None):
-    sketch, true = Sketch(k), Counter()
+def sketched(numbers, capacity=8, halve_at=None):
+    sketch, true = Sketch(capacity), Counter()
     for at, n in enumerate(numbers):
         if at == halve_at:
             sketch.halve()
             true = Counter({name: count / 2 for name, count in true.items()})
-        sketch.asked(NAMES[n], 100)
+        sketch.record(NAMES[n], 100)
         true[NAMES[n]] += 1
     return sketch, true
 
@@ -46,7 +46,7 @@
 @settings(derandomize=True, max_examples=60, deadline=None)
 def test_no_count_is_off_by_more_than_the_stated_bound_also_after_halving(numbers, halve_at):
     sketch, true = sketched(numbers, halve_at=halve_at)
-    bound = sketch.total / sketch.k
+    bound = sketch.total / sketch.capacity
     for name in NAMES:
         count = sketch.rows[name][0] if name in sketch.rows else None
         assert (
@@ -54,8 +54,8 @@
             if count is None
             else (true[name] - 1e-9 <= count <= true[name] + bound + 1e-9)
         )
-    for name, (sure, _, _) in sketch.sure().rows.items():
-        assert sure <= true[name] + 1e-9 <= sure + bound + 2e-9
+    for name, (low_bound, _, _) in sketch.lower_bounds().rows.items():
+        assert low_bound <= true[name] + 1e-9 <= low_bound + bound + 2e-9
     summary = sketch.summary()
     assert summary.slack() <= bound + 1e-9
     for name, (low, _, _) in summary.rows.items():
@@ -78,39 +78,49 @@
 
 
 def row(n, weight, size=1_000, kind="page"):
-    return w.Row(kind, f"o{n}", 0, 0, size, weight)
+    return messages.Row(kind, f"o{n}", 0, 0, size, weight)
 
 
-def lent(*rows, total=None, purge=0, age=0):
-    return w.Lent(age, 0, purge, sum(r.weight for r in rows) if total is None else total, 10_000, list(rows))
+def popularity_list(*rows, total=None, purge=0, age=0):
+    return messages.PopularityList(
+        age, 0, purge, sum(r.weight for r in rows) if total is None else total, 10_000, list(rows)
+    )
 
 
 @given(st.permutations(range(4)), st.integers(0, 3))
 @settings(derandomize=True, max_examples=30)
 def test_the_sum_of_lists_does_not_depend_on_order_and_twice_is_once(order, again):
-    made = [lent(row(1, 5_000 * (k + 1)), row(k + 2, 3_000)) for k in range(4)]
-    first, other = Borrowed(), Borrowed()
+    made = [popularity_list(row(1, 5_000 * (k + 1)), row(k + 2, 3_000)) for k in range(4)]
+    first, other = BorrowedLists(), BorrowedLists()
     for k in range(4):
-        first.take(f"r{k}", made[k])
+        first.add(f"r{k}", made[k])
     for k in [*order, again]:
-        other.take(f"r{k}", made[k])
-    shown = [{n: (one.rate, one.by, one.size) for n, one in table.sum().items()} for table in (first, other)]
+        other.add(f"r{k}", made[k])
+    shown = [
+        {n: (one.rate, one.rate_by_lender, one.size) for n, one in table.combined().items()}
+        for table in (first, other)
+    ]
     assert shown[0] == shown[1]
 
 
 def test_a_liar_brings_no_more_of_all_weight_than_its_stated_share():
     for lenders in (3, 5, 9):
-        table = Borrowed()
+        table = BorrowedLists()
         for k in range(lenders - 1):
-            table.take(f"r{k}", lent(*[row(n, 1_000) for n in range(50)]))
-        table.take("liar", lent(*[row(n, 10**9) for n in range(100, 150)]))
-        found = table.sum()
-        lies = sum(one.rate for one in found.values() if "liar" in one.by)
-        assert lies <= table.share() * sum(one.rate for one in found.values()) + 1e-9
+            table.add(f"r{k}", popularity_list(*[row(n, 1_000) for n in range(50)]))
+        table.add("liar", popularity_list(*[row(n, 10**9) for n in range(100, 150)]))
+        found = table.combined()
+        lies = sum(one.rate for one in found.values() if "liar" in one.rate_by_lender)
+        assert lies <= table.max_share() * sum(one.rate for one in found.values()) + 1e-9
 
 
 @pytest.mark.parametrize(
-    "wrong", [lent(row(1, 5), row(1, 5)), lent(row(1, 5), total=4), lent(age=lists.OLDEST + 1)]
+    "wrong",
+    [
+        popularity_list(row(1, 5), row(1, 5)),
+        popularity_list(row(1, 5), total=4),
+        popularity_list(age=lists.MAX_AGE + 1),
+    ],
 )
 def test_a_list_that_contradicts_itself_is_put_aside(wrong):
     with pytest.raises(UnusableList):
@@ -118,41 +128,43 @@
     with pytest.raises(UnusableList):
         lists.read(b"\xc1" * 50)
     with pytest.raises(UnusableList):
-        lists.read(b"\x90" * (lists.MOST_BYTES + 1))
+        lists.read(b"\x90" * (lists.MAX_BYTES + 1))
 
 
 def test_the_hash_is_the_routers_own():
     edges = [c.id for c in FLEET if c.id.startswith("c")]
     for n in range(50):
         send = sends(router().decide(1_000_000, [lookup(n, key="film", part=n)]))[0]
-        assert send.cache == rank(hashed("film", n), edges)[0]
-        assert send.source == rank(hashed("film", n), ["p0", "p1"])[0]
+        assert send.cache == rank(hash_key("film", n), edges)[0]
+        assert send.source == rank(hash_key("film", n), ["p0", "p1"])[0]
 
 
 KINDS = {"page": Kind(True, 2, 0, 1.0), "order": Kind(False, 2, 0, 9.0), "brief": Kind(True, 2, 100, 1.0)}
 CACHES = ("a", "b", "c", "d")
 
 
-def scene(target="n", before=CACHES, after=(*CACHES, "n"), warm=CACHES, **more):
-    return Scene(target, before, after, frozenset(warm), ("p", "q"), KINDS, **more)
+def location(target="n", before=CACHES, after=(*CACHES, "n"), warm=CACHES, **more):
+    return LocationState(target, before, after, frozenset(warm), ("p", "q"), KINDS, **more)
 
 
 def planned(*rows, at=None, told=(), lenders=1, **more):
-    table, purged = Borrowed(), Purged()
+    table, purged = BorrowedLists(), RecentPurges()
     for k in range(lenders):
-        table.take(f"r{k}", lent(*rows, **more))
+        table.add(f"r{k}", popularity_list(*rows, **more))
     for purge in told:
-        purged.told(purge)
-    return make(at or scene(), table, purged)
+        purged.add(purge)
+    return make_plan(at or location(), table, purged)
 
 
 def test_a_plan_has_what_hashes_there_and_nothing_that_must_not_be_filled():
     rows = [row(n, 50_000) for n in range(60)]
     found = planned(*rows)
     names = {entry.name for entry in found}
-    assert names == {r.name for r in rows if "n" in rank(hashed(r.object, 0), scene().after)[:2]} and names
+    assert (
+        names == {r.name for r in rows if "n" in rank(hash_key(r.object, 0), location().after)[:2]} and names
+    )
     for entry in found:  # from who had it by the hash
-        assert entry.source == rank(hashed(entry.name[1], 0), CACHES)[0]
+        assert entry.source == rank(hash_key(entry.name[1], 0), CACHES)[0]
     assert not planned(*[row(n, 50_000, kind="order") for n in range(60)])
     assert not planned(*[row(n, 20_000, kind="brief") for n in range(60)])  # stale before it is asked for
     assert not planned(*[row(n, 50_000, kind="unknown") for n in range(60)])
@@ -163,52 +175,52 @@
     assert one.name not in {e.name for e in planned(*rows, told=told, purge=4)}
     assert one.name in {e.name for e in planned(*rows, told=told, purge=5)}
     assert not planned(*rows, told=[Purge(0, 5, 1, "prefix", "page/")], purge=4)
-    sources = {entry.source for entry in planned(*rows, at=scene(warm=("a",)))}
+    sources = {entry.source for entry in planned(*rows, at=location(warm=("a",)))}
     assert sources <= {"a", "p", "q"} and sources & {"p", "q"}
 
 
 def test_heirs_of_one_that_leaves_get_what_they_take_over():
-    at = scene("a", CACHES, ("a", "b", "c"), ("b", "c"))
+    at = location("a", CACHES, ("a", "b", "c"), ("b", "c"))
     found = planned(*[row(n, 50_000) for n in range(60)], at=at)
-    assert found and all("d" in rank(hashed(e.name[1], 0), CACHES)[:2] for e in found)
-    assert all(gains(at, e.name, 2) and e.source != "d" for e in found)
+    assert found and all("d" in rank(hash_key(e.name[1], 0), CACHES)[:2] for e in found)
+    assert all(newly_kept(at, e.name, 2) and e.source != "d" for e in found)
 
 
 def test_a_liars_names_do_not_fill_more_than_its_share():
-    table = Borrowed()
+    table = BorrowedLists()
     for k in range(4):
-        table.take(f"r{k}", lent(*[row(n, 50_000) for n in range(200)]))
-    table.take("liar", lent(*[row(n, 10**7, size=1) for n in range(1_000, 3_000)]))
-    found = make(scene(), table, Purged())
+        table.add(f"r{k}", popularity_list(*[row(n, 50_000) for n in range(200)]))
+    table.add("liar", popularity_list(*[row(n, 10**7, size=1) for n in range(1_000, 3_000)]))
+    found = make_plan(location(), table, RecentPurges())
     lies = sum(int(entry.name[1][1:]) >= 1_000 for entry in found)
-    assert 0 < lies <= len(found) / 5 + STEP
+    assert 0 < lies <= len(found) / 5 + STEP_SIZE
 
 
 def test_fills_never_take_what_is_kept_for_lookups_nor_more_than_is_borne():
-    terms = Cold(0.3, 100_000, 2.0, 2_000)
+    terms = ColdCapacity(0.3, 100_000, 2.0, 2_000)
     for seed in range(3):
-        dice, allowance, spent, now = Random(seed), Allowance(terms, 0, 4, 0), [], 0
+        rng, allowance, spent, now = Random(seed), Allowance(terms, 0, 4, 0), [], 0
         for _ in range(3_000):
-            now += dice.randrange(1, 40)
-            if dice.random() < 0.2:
-                allowance.told(now, 0, dice.random())
-            if dice.random() < 0.1:
-                allowance.looked(now, 20)
-            elif allowance.fill(now, 30):
+            now += rng.randrange(1, 40)
+            if rng.random() < 0.2:
+                allowance.set_others(now, 0, rng.random())
+            if rng.random() < 0.1:
+                allowance.spend_lookup(now, 20)
+            elif allowance.try_fill(now, 30):
                 spent.append((now, 30))
-                assert allowance.room >= terms.kept * allowance.burst(now) - 1e-6
+                assert allowance.balance >= terms.reserved * allowance.burst(now) - 1e-6
         for k, (began, _) in enumerate(spent):
             for upto, _ in spent[k : k + 60]:
                 total = sum(cost for at, cost in spent[k : k + 60] if at <= upto)
-                able = allowance.able(upto)
-                assert total <= terms.pace * able * (terms.burst + upto - began) + 30
+                capacity = allowance.capacity(upto)
+                assert total <= terms.pace * capacity * (terms.burst + upto - began) + 30
 
 
 def test_a_sources_slots_are_shared_out_exactly():
     for room in range(0, 12):
         for active in range(1, 9):
             for now in range(0, 10_000, 500):
-                assert sum(fair(room, active, place, now) for place in range(active)) == room
+                assert sum(fair_share(room, active, position, now) for position in range(active)) == room
 
 
 def test_the_section_wants_sharing_beside_it():
--- a/tests/test_warming_member.py
+++ b/tests/test_warming_member.py
@@ -10,7 +10,7 @@
 from hookrouter import interface
 from hookrouter.caches.errands import Ended, request
 from hookrouter.decisions.owners.holder import Warrant
-from hookrouter.decisions.warming import words as w
+from hookrouter.decisions.warming import messages
 from hookrouter.fleet.member.warmed import Warmed
 from hookrouter.node.heed import Heed
 
@@ -55,19 +55,19 @@
     return Warmed(warmer, "c9", Warrant("warm.edge/c9", 7, until)), events
 
 
-FILL = w.Fill(("clip", "k1", 2), 1, 1_000, "c1", 7)
+FILL = messages.Fill(("clip", "k1", 2), 1, 1_000, "c1", 7)
 
 
 def test_no_fill_goes_out_once_the_lease_is_over(host):
     warmed, events = begun(host, until=500)
     warmed._fill(FILL)
     warmed.warmer.reactor.advance(0)
-    assert host.sent == [] and events == [("given up", w.LEASE)]
+    assert host.sent == [] and events == [("given up", messages.LEASE_OVER)]
 
 
 def test_a_fill_bears_its_number_and_a_refusal_ends_the_warming(host):
     warmed, events = begun(host, until=501)
-    warmed.table.state, warmed.table.out = "warming", {FILL.name: object()}
+    warmed.table.state, warmed.table.in_flight = "warming", {FILL.name: object()}
     warmed._fill(FILL)
     ((target, errand, deferred),) = host.sent
     assert (
@@ -76,11 +76,11 @@
         and b"X-Fence: warm.edge/c9 7\r\n" in b"".join(request(errand, b"h"))
     )
     deferred.callback(Ended(interface.ERRED, refused=True))
-    assert events == [("given up", w.OLD_NUMBER)]
+    assert events == [("given up", messages.OLD_NUMBER)]
 
 
 def test_it_ends_where_its_cache_drains_or_leaves(host):
-    for phase, cause in ((interface.DRAINING, w.DRAINED), (interface.GONE, w.LEFT)):
+    for phase, cause in ((interface.DRAINING, messages.DRAINED), (interface.GONE, messages.CACHE_LEFT)):
         warmed, events = begun(host, until=501)
         host.heed.listed(
             SimpleNamespace(whole=False, caches=(cache("c9", phase=phase, born=NOW - SECOND),)), False
--- a/tests/warming_mistakes.py
+++ b/tests/warming_mistakes.py
@@ -1,14 +1,15 @@
 """Mistakes seeded on purpose in warming, each in the place of one part: what a check of safety must find."""
 
-from hookrouter.decisions import warming as d
+from hookrouter.decisions import warming
 from hookrouter.decisions.owners.fence import Fence
-from hookrouter.decisions.warming import steps as s
-from hookrouter.decisions.warming import words as w
+from hookrouter.decisions.warming import messages, steps
 
 
-class FillWithoutNumber(d.Warming):
-    def take(self, now, event):
-        return [e._replace(number=0) if isinstance(e, w.Fill) else e for e in super().take(now, event)]
+class FillWithoutNumber(warming.Warming):
+    def handle(self, now, event):
+        return [
+            e._replace(number=0) if isinstance(e, messages.Fill) else e for e in super().handle(now, event)
+        ]
 
 
 class NoFence(Fence):
@@ -16,60 +17,60 @@
         return True
 
 
-class PurgeBetweenListAndFillLost(d.Purged):
-    def struck(self, wanted, since=(0, 0)):
-        return super().struck(wanted) if since == (0, 0) else set()
+class PurgeBetweenListAndFillLost(warming.RecentPurges):
+    def purged_among(self, wanted, since=(0, 0)):
+        return super().purged_among(wanted) if since == (0, 0) else set()
 
 
-class PurgeOfBeforeTheListsForgotten(d.Purged):
+class PurgeOfBeforeTheListsForgotten(warming.RecentPurges):
     """A purge that came between two lists counts by the newest list's number."""
 
-    def struck(self, wanted, since=(0, 0)):
-        return set() if since == (0, 0) else super().struck(wanted, since)
+    def purged_among(self, wanted, since=(0, 0)):
+        return set() if since == (0, 0) else super().purged_among(wanted, since)
 
 
-class DrainingSource(d.Doors):
+class DrainingSource(warming.FillGate):
     def _source(self, entry):
         return entry.source
 
 
-class DrainingTarget(d.Doors):
-    def told(self, now, open, *more):
-        super().told(now, True, *more)
+class DrainingTarget(warming.FillGate):
+    def update(self, now, open, *more):
+        super().update(now, True, *more)
 
 
-class TriedAgain(d.Warming):
+class TriedAgain(warming.Warming):
     """What failed goes to the end of its step."""
 
-    def _ended(self, event):
-        entry = self.out.get(event.name)
-        if event.end == w.FAILED and entry is not None and self.state == s.WARMING:
-            self.steps[self.at].append(entry)
-        super()._ended(event)
+    def _fill_ended(self, event):
+        entry = self.in_flight.get(event.name)
+        if event.end == messages.FAILED and entry is not None and self.state == steps.WARMING:
+            self.steps[self.step_index].append(entry)
+        super()._fill_ended(event)
 
-    events = {**s.EVENTS, w.Ended: _ended}
+    events = {**steps.EVENTS, messages.FillEnded: _fill_ended}
 
 
-class ProgressForgotten(d.Warming):
-    def _former(self):
+class ProgressForgotten(warming.Warming):
+    def _former_steps(self):
         return []
 
 
-class NextStepUntold(d.Warming):
+class NextStepUntold(warming.Warming):
     """It goes on before the keepers know of the step before."""
 
     def _fill(self):
-        self.told = self.done
+        self.recorded_steps = self.done
         return super()._fill()
 
-    table = {**s.TABLE, (s.WARMING, s.ROOM): (s.WARMING, _fill)}
+    table = {**steps.TABLE, (steps.WARMING, steps.PROCEED): (steps.WARMING, _fill)}
 
 
-class FillsBeforeCourseIsKept(d.Warming):
+class FillsBeforeCourseIsKept(warming.Warming):
     def _plan(self):
-        return super()._plan() or s.KEPT
+        return super()._plan() or steps.PLAN_KEPT
 
-    table = {**s.TABLE, (s.BORROWING, s.ENOUGH): (s.PLANNED, _plan)}
+    table = {**steps.TABLE, (steps.BORROWING, steps.ENOUGH): (steps.PLANNED, _plan)}
 
 
 def dated_anew(order):
@@ -77,33 +78,33 @@
     return max([n for n, _ in order], default=0)
 
 
-class LookupsNotFirst(d.Allowance):
-    def looked(self, now, cost):
+class LookupsNotFirst(warming.Allowance):
+    def spend_lookup(self, now, cost):
         pass
 
 
-class ColdAllowanceExceeded(d.Allowance):
-    def fill(self, now, cost):
+class ColdAllowanceExceeded(warming.Allowance):
+    def try_fill(self, now, cost):
         return super().fill(now, 0)
 
 
-class OthersUnheeded(d.Allowance):
-    def told(self, now, age, rate):
-        super().told(now, age, 0.0)
+class OthersUnheeded(warming.Allowance):
+    def set_others(self, now, age, rate):
+        super().set_others(now, age, 0.0)
 
 
-class LiarUnbounded(d.Borrowed):
-    def cap(self):
-        return max(lent.total for lent in self.lists.values())
+class LiarUnbounded(warming.BorrowedLists):
+    def total_cap(self):
+        return max(popularity.total for popularity in self.lists.values())
 
 
-class AddedTwice(d.Borrowed):
-    def take(self, lender, lent):
-        return super().take(f"{lender}.{len(self.lists)}", lent)
+class AddedTwice(warming.BorrowedLists):
+    def add(self, lender, popularity):
+        return super().add(f"{lender}.{len(self.lists)}", popularity)
 
 
 def merged_twice(one, other):
-    return d.merge(d.merge(one, other), other)
+    return warming.merge(warming.merge(one, other), other)
 
 
 # What it takes the place of, and the mistake.
