--- a/hookrouter/decisions/admission/__init__.py
+++ b/hookrouter/decisions/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Storms of returns: who is admitted when at a gateway that all come back to, and how each one comes."""
+"""Admission control at a gateway after a restart, and the reconnection policy of its followers."""
 
 from .gate import Gate as Gate
 from .messages import Arrival as Arrival
--- a/hookrouter/decisions/admission/gate.py
+++ b/hookrouter/decisions/admission/gate.py
@@ -1,9 +1,10 @@
-"""The gate of a gateway: one admission at a time, in order; a table of states says how others are treated.
+"""The admission gate of a gateway: one admission at a time, in the order of the queue.
 
-Slotted access with a known number of comers, earliest deadline first while that is feasible. One admission at
-a time is the bound on the rate: the next begins when the last has ended, so what is borne is measured and not
-set (what feeds a storm is work that is begun, given up and asked for again: Bronson and others, "Metastable
-failures in distributed systems", 2021). Who is not admitted keeps no state here but one row.
+This is slotted access with a known number of followers, served earliest deadline first while that is
+feasible. Each admission starts when the one before has completed, so the rate follows the measured cost
+instead of a configured one. Work that is started, abandoned and requested again would feed the overload
+(Bronson and others, "Metastable failures in distributed systems", 2021). A follower that is not admitted
+occupies one row.
 """
 
 from ...errors.wire import InvalidTicket
@@ -12,15 +13,13 @@
 from .queue import FORMER, NEVER, NEW, URGENT, Queue, Row
 from .reconnect import CAP_PER_FOLLOWER, MIN_CAP
 
-MAX_HOLD = 10_000  # 1 s: one that comes early is answered that late; less than a follower's patience (1.8 s)
-NO_SHOW_TIMEOUT = 50_000  # 5 s after its slot one that did not come has no place any more
-LAPSE_FACTOR, MIN_LAPSE = (
-    4,
-    5_000,
-)  # times its mean, at least 0.5 s: one that does not end is waited for no longer
-RENEWAL_MARGIN = 1_000  # 0.1 s: from an admission to the renewal that it makes possible
-BUCKET_SIZE, TOKEN_INTERVAL = 4, 5_000  # connections of one flow in a row, and one more each half second
-MAX_REMEMBERED = 20_000  # tickets of former lives remembered as used, and flows: two for each place
+MAX_HOLD = 10_000  # 1 s: the longest that an early follower is held, below a follower's own timeout (1.8 s)
+NO_SHOW_TIMEOUT = 50_000  # 5 s after its slot a follower that did not return loses its place
+# An admission that takes 4 times its mean, and at least 0.5 s, is waited for no longer.
+LAPSE_FACTOR, MIN_LAPSE = 4, 5_000
+RENEWAL_MARGIN = 1_000  # 0.1 s: from an admission to the lease renewal that it makes possible
+BUCKET_SIZE, TOKEN_INTERVAL = 4, 5_000  # a flow's burst of connections, and one more each half second
+MAX_REMEMBERED = 20_000  # used tickets of former incarnations, and flows: two for each place in the queue
 
 RECOVERING, PACING, OPEN, OVERRUN = "recovering", "pacing", "open", "overrun"
 GATHERED, ALL_BACK, CROWDED, DEADLINE_MISSED, DEADLINES_MET = (
@@ -33,7 +32,7 @@
 TABLE = {
     (RECOVERING, GATHERED): PACING,
     (PACING, ALL_BACK): OPEN,
-    (PACING, DEADLINE_MISSED): OVERRUN,  # someone cannot be served before its lease is over
+    (PACING, DEADLINE_MISSED): OVERRUN,  # some follower cannot be served before its lease expires
     (OVERRUN, DEADLINES_MET): PACING,
     (OVERRUN, ALL_BACK): OPEN,
     (OPEN, CROWDED): PACING,
@@ -41,11 +40,12 @@
 
 
 def no_alternative(now, waiting, rate):
+    """Offers no alternative gateway: the default of Gate's elsewhere."""
     return ""
 
 
 class Flow:
-    """What one name has cost: tokens for its connections, and how often it was admitted in this storm."""
+    """The state of one named follower: its token bucket for connections, and its admissions in this storm."""
 
     __slots__ = ("tokens", "refilled_at", "admitted")
 
@@ -54,36 +54,43 @@
 
 
 class Gate:
-    """Events give lists of effects."""
+    """Decides which follower is admitted when. Methods that handle an event return a list of effects.
+
+    Times are tenths of a millisecond of the gateway's steady clock.
+    """
 
     near = slots.HOLD_SLOTS
 
     def __init__(self, terms, now, expected, rng, elsewhere=None):
-        """known: how many hung on this gateway before it started. dice: random(). elsewhere(now, waiting,
-        rate): a gateway that one more should go to, or "".
+        """expected: followers of this gateway before it started. rng: a source of random numbers with
+        random(). elsewhere(now, waiting, rate): returns a gateway to which one more follower should go, or
+        "".
         """
         self.terms, self.rng, self.expected, self.started = terms, rng, expected, now
         self.elsewhere = elsewhere or no_alternative
         self.state = RECOVERING if expected else OPEN
         self.queue, self.costs = Queue(), Costs()
-        self.last_number, self.turns = 0, 0  # numbers given; admissions begun: turns that are over
-        self.current, self.free_at = None, now  # (conn, name, how, began) of the admission under way
-        self.former_places = {}  # name -> place by a former ticket, of one that did not come in time
-        self.used_tickets, self.returned, self.flows = {}, set(), {}  # flows: name -> its Flow
-        # Comers knock within that after a start: most are known before slots are dealt.
+        # the last number given out; admissions begun, which is the current turn
+        self.last_number, self.turns = 0, 0
+        self.current, self.free_at = None, now  # (conn, name, transfer, start) of the admission in progress
+        self.former_places = {}  # name -> place by a former ticket, of a follower that missed its slot
+        self.used_tickets, self.returned, self.flows = {}, set(), {}  # flows: name -> Flow
+        # Followers reconnect within this time after a start, so most are known before slots are assigned.
         self.gather_time = min(MAX_HOLD, max(MIN_CAP, CAP_PER_FOLLOWER * expected))
-        self.counts, self.total_duration = {}, 0  # took: what all that ended have cost
+        self.counts, self.total_duration = {}, 0  # total_duration: of all completed admissions
 
-    # ---- asked
+    # ---- queries
 
     def gap(self):
+        """Returns the interval between two slots."""
         return self.costs.gap(self.queue.counts, self.terms.share)
 
     def horizon(self):
-        """Until all that are known and not back are served, from now."""
+        """Returns the time until all expected followers that have not returned are served."""
         return max(len(self.queue), self.expected - len(self.returned)) * self.gap()
 
     def facts(self):
+        """Returns the state of the gate for status pages, as a dictionary."""
         return {
             "state": self.state,
             "waiting": len(self.queue),
@@ -96,37 +103,38 @@
         }
 
     def load(self):
-        """(waiting, room, rate a second) for the neighbours' queues."""
+        """Returns (waiting, room, rate a second), which neighbours use to choose an alternative gateway."""
         room = self.terms.max_waiting - len(self.queue) if self.state in (OPEN, PACING) else 0
         return len(self.queue), room, 10_000 / self.gap()
 
-    # ---- told
+    # ---- events
 
     def arrived(self, now, arrival):
+        """Handles a connection of a follower: queues, holds, defers or closes it."""
         if not self._take_token(now, arrival.name):
             self._count("flows_over")
             return [messages.Close(arrival.conn, "too often")]
         row, effects = self.queue.rows.get(arrival.name), []
         if row is not None and row.conn == arrival.conn:
-            return []  # told twice
+            return []  # duplicate event
         if row is None:
             if len(self.queue) >= self.terms.max_waiting:
                 return [self._defer_without_place(arrival)]
             row = self._enqueue(now, arrival)
         else:
-            if row.conn is not None:  # the newer one counts: the older may be dead and not know it
+            # the newer connection counts: the follower may have lost the older one unnoticed
+            if row.conn is not None:
                 effects.append(messages.Close(row.conn, "came anew"))
                 self.queue.detach(row)
             row.lease_end = now + arrival.lease_left if arrival.lease_left > 0 else NEVER
-            ticket = self._read_ticket(
-                arrival
-            )  # of another gateway, or of before: it came here without, once
+            # A follower that came without its ticket once may show one of another gateway or incarnation now.
+            ticket = self._read_ticket(arrival)
             if ticket is not None:
                 row.base_key = min(row.base_key, (FORMER, ticket.incarnation, ticket.turn, row.number))
             self.queue.move(row, self._order_key(now, arrival, row.base_key), arrival.transfer)
         row.early = row.due > now + self._hold_limit() * self.gap()
         if row.early:
-            self._count("early")  # held, so that coming early and often is answered once a hold
+            self._count("early")  # held, so that early connections are answered at most once per hold
         row.arrived_at = now
         self.queue.attach(row, arrival.conn)
         effects += self.admit_next(now)
@@ -137,13 +145,13 @@
         return effects
 
     def set_transfer(self, now, transfer):
-        """What the one that was admitted is given in truth: the order has moved since it came."""
+        """Sets the transfer that the admitted follower really gets: the log has advanced since it arrived."""
         if self.current is not None:
             conn, name, _, since = self.current
             self.current = conn, name, transfer, since
 
     def completed(self, now, conn, duration=None):
-        """The one that was admitted is up to date; took: where it is not from then to now."""
+        """Handles the end of an admission. duration: its cost, where that is not the time since it began."""
         if self.current is None or self.current[0] != conn:
             return []
         _, _, transfer, began = self.current
@@ -155,7 +163,7 @@
         return self.admit_next(now)
 
     def disconnected(self, now, conn):
-        """A connection is over, whatever it waited for."""
+        """Handles the end of a connection, whether it waited or was being admitted."""
         if self.current is not None and self.current[0] == conn:
             self.current, self.free_at = None, now
             self._count("gone_in_mid_admission")
@@ -166,7 +174,7 @@
         return self.admit_next(now)
 
     def tick(self, now):
-        """Called while anybody waits, each few slots."""
+        """Lets time pass: called every few slots while any follower waits."""
         if self.current is not None:
             _, _, transfer, began = self.current
             lapse = max(MIN_LAPSE, LAPSE_FACTOR * self.costs.mean_of(transfer))
@@ -181,9 +189,8 @@
         elif self.state != RECOVERING:
             for key in list(self.queue.present):
                 row = self.queue.by_key[key]
-                if (
-                    now - row.arrived_at >= MAX_HOLD
-                ):  # its patience ends; the early one's turn is not sooner for it
+                # The hold is over. For an early follower this does not bring its turn forward.
+                if now - row.arrived_at >= MAX_HOLD:
                     row.early = False
                     effects += self._answer(now, row, True)
         for row in [
@@ -192,18 +199,18 @@
             self.queue.remove(row)
             self._count("forgotten")
             if row.base_key[0] == FORMER and len(self.former_places) < MAX_REMEMBERED:
-                self.former_places[row.name] = row.base_key  # it need not show that ticket anew
+                self.former_places[row.name] = row.base_key  # its ticket need not be shown again
         self._update_state(now)
         return effects
 
     def next_wake(self, now):
-        """When the next may be admitted, if only time is waited for; else None."""
+        """Returns the time of the next admission where only time is missing, else None."""
         if self.current is None and self.queue.present:
             return max(now, self.free_at)
         return None
 
     def is_idle(self):
-        """Nothing to look at before somebody comes."""
+        """Returns whether nothing has to be done before the next event."""
         return self.state == OPEN and not self.queue.rows and self.current is None
 
     # ---- the order
@@ -212,7 +219,8 @@
         ticket = self._read_ticket(arrival)
         self.last_number += 1
         lease_end = now + arrival.lease_left if arrival.lease_left > 0 else NEVER
-        # One whose lease cannot be kept is behind those that hold theirs: they will need it sooner.
+        # A follower whose lease cannot be kept queues behind those with a live one, which will need theirs
+        # sooner.
         kept = (
             len(self.queue.present) * self.gap() + self.costs.mean_of(arrival.transfer) <= arrival.lease_left
         )
@@ -226,7 +234,9 @@
         return row
 
     def _order_key(self, now, arrival, key):
-        """Its place; ahead where its lease would be over by then, and can still be kept. Once a storm."""
+        """Returns the key of its place. A follower moves ahead, once a storm, where its lease would otherwise
+        expire first and can still be kept.
+        """
         if arrival.lease_left <= 0 or self._flow(now, arrival.name).admitted:
             return key
         gap, own_cost = self.gap(), self.costs.mean_of(arrival.transfer) + RENEWAL_MARGIN
@@ -249,7 +259,9 @@
         return flow
 
     def _read_ticket(self, arrival):
-        """The ticket, where it gives a place in the order; one of this life has its row, or is used up."""
+        """Returns the ticket where it gives a place in the order, else None. A ticket of this incarnation has
+        a row already or is used up.
+        """
         if not arrival.ticket:
             return None
         try:
@@ -268,15 +280,16 @@
             del self.used_tickets[next(iter(self.used_tickets))]
         return ticket
 
-    # ---- the acts
+    # ---- actions
 
     def admit_next(self, now):
-        """The next one, if it is time."""
+        """Admits the next follower if it is time."""
         if self.current is not None or now < self.free_at:
             return []
         while (row := self.queue.first_present()) is not None:
             if row.key[0] == URGENT and now + self.costs.mean_of(row.transfer) > row.lease_end:
-                # Not begun in vain while others can be kept: to where it stood without a lease.
+                # Its lease would expire during the admission: it returns to its place without a lease, so
+                # that others can keep theirs.
                 self._count("not_in_time")
                 row.late, row.lease_end = True, NEVER
                 self.queue.move(row, row.base_key, row.transfer)
@@ -292,11 +305,11 @@
         return []
 
     def _hold_limit(self):
-        """Slots that one may wait where it is."""
+        """Returns how many slots ahead a follower may wait on its connection."""
         return max(1, min(self.near, int(MAX_HOLD / self.gap())))
 
     def _answer(self, now, row, over=False):
-        """Near its slot it waits where it is; else, or where that is over, it is told when to come."""
+        """Lets a follower near its slot wait on its connection; else, or once the hold is over, defers it."""
         index, gap = self.queue.index(row.key), self.gap()
         if not over and (self.state in (RECOVERING, OPEN) or index < self._hold_limit()):
             return []
@@ -316,11 +329,13 @@
         ]
 
     def _defer_without_place(self, arrival):
+        """Defers a follower that finds the queue full; it gets no ticket."""
         self._count("no_place")
         wait = int((1 + self.rng.random()) * self.terms.max_waiting * self.gap())
         return messages.Defer(arrival.conn, wait, "", True, max(self.expected, len(self.returned)))
 
     def _take_token(self, now, name):
+        """Takes a token of this follower's bucket; returns whether there was one."""
         flow = self._flow(now, name)
         gained = (now - flow.refilled_at) // TOKEN_INTERVAL
         flow.tokens, flow.refilled_at = (
@@ -332,10 +347,12 @@
         flow.tokens -= 1
         return True
 
-    # ---- the state
+    # ---- states
 
     def _gathered(self, now):
-        """All that are known are there and what they cost too, or they had the time that a return takes."""
+        """Returns whether all expected followers and the costs of their transfers are known, or the time that
+        a reconnection takes has passed.
+        """
         all_here = len(self.returned) + len(self.queue) >= self.expected
         measured = all(self.costs.samples[transfer] for transfer, count in self.queue.counts.items() if count)
         return (all_here and measured) or now >= self.started + self.gather_time
--- a/hookrouter/decisions/admission/messages.py
+++ b/hookrouter/decisions/admission/messages.py
@@ -1,27 +1,31 @@
-"""Words of admission. Spans and times are whole tenths of a millisecond of the gateway's own steady clock; on
-the wire go spans only.
+"""Settings, events and effects of admission control.
+
+Times are whole tenths of a millisecond of the gateway's steady clock; only durations go on the wire.
 """
 
 from typing import NamedTuple
 
-TAIL, SNAPSHOT = "tail", "snapshot"  # what a comer is given: the rest of the order, or all that is live
+# kinds of transfer: the missing part of the log, or a snapshot of all live purges
+TAIL, SNAPSHOT = "tail", "snapshot"
 NO_LEASE = -1
 
 
 class Terms(NamedTuple):
-    """name, life: of this gateway; key: of the seal. share: of its time that admissions may
-    take.
+    """Settings of the gate. name, incarnation: of this gateway; seal_key: of its tickets; share: of its time
+    that admissions may take.
     """
 
     name: str
     incarnation: int
     seal_key: bytes
     share: float = 0.95
-    max_waiting: int = 10_000  # comers known at a time; beyond it one is told to wait and keeps no place
+    max_waiting: int = 10_000  # followers with a place in the queue; beyond it they are deferred without one
 
 
 class Arrival(NamedTuple):
-    """conn: names the connection; name: the flow; left: of its lease, NO_LEASE without; ticket: its text."""
+    """A connection of a follower. conn: number of the connection; name: of the follower; transfer: what it
+    needs; lease_left: NO_LEASE without a lease; ticket: its text.
+    """
 
     conn: int
     name: str
@@ -34,7 +38,9 @@
 
 
 class Admit(NamedTuple):
-    """It begins now; began() tells what it is given in truth, ended() that it is up to date."""
+    """Starts this admission. The host reports the actual transfer by set_transfer() and the end by
+    completed().
+    """
 
     conn: int
     name: str
@@ -42,8 +48,9 @@
 
 
 class Defer(NamedTuple):
-    """Come back after wait with this ticket (none where there is no place). late: its lease will be over by
-    then, so it fences itself meanwhile. fleet: how many hang on this gateway. elsewhere: a gateway with room.
+    """Tells the follower to return after wait with this ticket, which is empty where it has no place. late:
+    its lease will have expired by then, so it fences itself meanwhile. fleet_size: followers of this gateway.
+    elsewhere: a gateway with room.
     """
 
     conn: int
@@ -55,7 +62,7 @@
 
 
 class Close(NamedTuple):
-    """The connection is closed without a word."""
+    """Closes the connection without an answer."""
 
     conn: int
     reason: str
--- a/hookrouter/decisions/admission/overflow.py
+++ b/hookrouter/decisions/admission/overflow.py
@@ -1,35 +1,39 @@
-"""Which gateway one more comer is sent to, by what neighbours told of their queues.
+"""Chooses an alternative gateway for one more follower, by the queue lengths that neighbours report.
 
-News is old: what was sent there since counts as waiting there (interpreted by age, Dahlin 2000), and no more
-is sent on one piece of news than this one's share of the room that it told. So all that send by the same news
-overfill nobody.
+Reports are old: followers sent there since count as waiting there (load interpreted by age, Dahlin 2000), and
+no more are sent on one report than this gateway's share of the room that it states. So all gateways that act
+on the same report do not overfill the target.
 """
 
 from typing import NamedTuple
 
-MAX_REPORT_AGE = 50_000  # 5 s: news older than that is none
-MAX_WAIT_RATIO = (
-    0.5  # of the own wait, at most, has to be expected there: a move costs a connection and a tail
-)
-MIN_GAIN = 2_000  # 0.2 s that a move costs at least
+MAX_REPORT_AGE = 50_000  # 5 s: an older report is ignored
+# The expected wait there is at most this part of the local wait: a move costs a connection and a tail.
+MAX_WAIT_RATIO = 0.5
+MIN_GAIN = 2_000  # 0.2 s, the least cost of a move
 
 
 class NeighbourQueue(NamedTuple):
+    """A neighbour's report of its queue; age in tenths of a millisecond."""
+
     gateway: str
     waiting: int
     room: int
-    rate: float  # a second
+    rate: float  # admissions a second
     age: int
 
 
 class Overflow:
-    """heard(): rows of Queue as of now; shares: how many send to the same ones, to share out the room."""
+    """Reports of neighbours and the choice between them. senders: gateways that share the room of one
+    neighbour.
+    """
 
     def __init__(self, own_name, senders=1):
         self.own_name, self.senders = own_name, max(1, senders)
-        self.reports = {}  # gateway -> (when heard, Queue, sent since)
+        self.reports = {}  # gateway -> [time of the report, NeighbourQueue, sent since]
 
     def update(self, now, rows):
+        """Records the neighbours' reports; an older report does not replace a newer one."""
         for row in rows:
             if row.gateway != self.own_name:
                 old = self.reports.get(row.gateway)
@@ -37,7 +41,9 @@
                     self.reports[row.gateway] = [now - row.age, row, 0]
 
     def pick(self, now, waiting, rate):
-        """A gateway, or "": here it would wait for waiting others at that rate a second."""
+        """Returns a gateway, or "" where none is better than waiting here behind this many at this rate a
+        second.
+        """
         best, least_wait = "", MAX_WAIT_RATIO * waiting / max(rate, 1e-9) * 10_000 - MIN_GAIN
         for gateway in sorted(self.reports):
             told_at, row, sent = self.reports[gateway]
--- a/hookrouter/decisions/admission/slots.py
+++ b/hookrouter/decisions/admission/slots.py
@@ -1,19 +1,16 @@
-"""Even slots, and the wait that is told for one: spread over its slot, and somewhat early, so that the next
-is there when one ends and nobody is waited for.
+"""Evenly spaced slots, and the wait that a deferred follower is told: jittered over its slot and slightly
+early, so that the next follower is connected when an admission completes.
 """
 
-LEAD_SLOTS = (
-    8  # slots: a comer is asked to be there that much early; ways of some gaps' length hide behind it
-)
-HOLD_SLOTS = (
-    2 * LEAD_SLOTS
-)  # slots: who comes that early is kept waiting on its connection, since a way back costs more
-WAIT_FACTOR = (
-    0.8  # of the span that is reckoned: it grows wrong with its length, and a comer that is told anew
-)
-# twice or three times costs less than a gate that has nobody to admit
+# Followers return this many slots early, which hides network delays of several slots.
+LEAD_SLOTS = 8
+# A follower that is within this many slots waits on its connection, since another connection costs more.
+HOLD_SLOTS = 2 * LEAD_SLOTS
+# Part of the computed wait that is told: the estimate gets worse with its length, and telling a follower two
+# or three times costs less than an idle gate.
+WAIT_FACTOR = 0.8
 
 
 def wait_for_slot(index, gap, rng, lead=LEAD_SLOTS):
-    """The wait for the index-th slot from now, jittered over one slot."""
+    """Returns the wait for the index-th slot from now, jittered over one slot, in the unit of gap."""
     return max(0, int((WAIT_FACTOR * index - lead + rng.random()) * gap))
--- a/hookrouter/decisions/admission/tickets.py
+++ b/hookrouter/decisions/admission/tickets.py
@@ -1,8 +1,8 @@
-"""Tickets: a place in the order of one life of a gateway, sealed for the name that was given it.
+"""Tickets: a place in the order of one incarnation of a gateway, sealed for the follower that received it.
 
-The seal is an HMAC (RFC 2104) over gateway, life, number, turn and name. No time stands in it: what is said
-of time is a wait, told beside it, so no clock is compared across machines. The turn is the place in that
-life's order, which a later life, or another gateway, keeps among all that come with one.
+The seal is an HMAC (RFC 2104) over gateway, incarnation, number, turn and name. A ticket contains no time,
+since waits are told beside it and clocks are not compared across machines. The turn is the place in the order
+of that incarnation; a later incarnation, or another gateway, keeps that order among all tickets.
 """
 
 import hmac
@@ -11,15 +11,17 @@
 
 from ...errors.wire import InvalidTicket
 
-SEAL_BYTES = 16  # bytes of HMAC-SHA256: a guess costs a connection
-MAX_CHARACTERS = 400  # characters: two names of 64, three numbers and the seal are below it
+SEAL_BYTES = 16  # of HMAC-SHA256: each guess costs a connection
+MAX_CHARACTERS = 400  # two names of 64 characters, three numbers and the seal take less
 
 
 class Ticket(msgspec.Struct, array_like=True, forbid_unknown_fields=True, frozen=True):
+    """The content of a ticket."""
+
     gateway: str
     incarnation: int
-    number: int  # its own in that life
-    turn: int  # place in that life's order
+    number: int  # unique in that incarnation
+    turn: int  # place in the order of that incarnation
     name: str
 
 
@@ -28,18 +30,20 @@
 
 
 def derive_key(secret):
-    """The key of the seal, from the secret that gateways share: not that of any other message."""
+    """Derives the key of the seal from the secret that gateways share, separate from the keys of other
+    messages.
+    """
     return hmac.digest(secret, b"admission ticket", "sha256")
 
 
 def write(key, ticket):
-    """Text of a header field."""
+    """Returns the sealed ticket as the text of a header field."""
     text = _encode(ticket)
     return (hmac.digest(key, text, "sha256")[:SEAL_BYTES] + text).hex()
 
 
 def read(key, text, name):
-    """The Ticket; InvalidTicket where it is not one of this key for that name."""
+    """Returns the Ticket; raises InvalidTicket where the text is not sealed by this key for this name."""
     if len(text) > MAX_CHARACTERS:
         raise InvalidTicket("longer than a ticket")
     try:
--- a/hookrouter/decisions/spread/__init__.py
+++ b/hookrouter/decisions/spread/__init__.py
@@ -1,5 +1,5 @@
-"""Load spread evenly though each router sees little: how busy others keep a cache, shares of cold ones as
-leases, and who finds a recovered one. Decisions: no file, socket, clock.
+"""Spreads load evenly by what routers tell each other: estimates of the others' load on each cache, leased
+shares of the capacity of cold caches, and coordinated probing of caches that were set aside. No I/O.
 """
 
 from .messages import SpreadTerms
--- a/hookrouter/decisions/spread/load_estimates.py
+++ b/hookrouter/decisions/spread/load_estimates.py
@@ -1,25 +1,31 @@
-"""How busy the others keep a cache: what was told, taken for what it is worth by its age.
+"""Estimates of the load that all other routers put on each cache, from reports discounted by their age.
 
-After Dahlin (Interpreting stale load information, 2000) what is told is not the load but evidence of it. All
-routers read the same old news, so each moves only as far as all of them together may before the next shows
-what that did: the level follows the news in a span that grows with their age. A level that follows at once
-sends everybody to the cache that was least busy some seconds ago, and then all back (Mitzenmacher, How useful
-is old information?, 2000).
+A report is taken as evidence of the load rather than the load itself (Dahlin, Interpreting stale load
+information, 2000). All routers read the same stale reports, so each moves only as far as all of them together
+may before the next reports show the effect: an estimate follows in a time that grows with the age of the
+reports. An estimate that follows at once sends everybody to the cache that was least loaded some seconds ago,
+and then all back (Mitzenmacher, How useful is old information?, 2000).
 """
 
 from math import exp
 
 from . import reported_load
 
-SETTLING_AGES = 2.0  # ages of the news until a level has followed them for the most part: under 1 it swings
-MAX_MOVE = 0.5  # of that scale (the mean), by one news: so much one that is wrong can move
-MAX_LEVEL = 4.0  # times the fleet's mean: a cache told to be busier is held for this busy
-SURPLUS_DECAY = 80_000  # 8 s: of a surplus that was told; names stay popular for longer than sends stay out
-MIN_SCALE = 1.0  # sends for each that a link carries at full pace: below it load tells nothing, and from a
-# mean of none no level would rise by parts of it
+# in ages of the reports, the time in which an estimate mostly follows them; below 1 it oscillates
+SETTLING_AGES = 2.0
+# part of the scale that one report moves an estimate at most, which bounds the effect of a wrong one
+MAX_MOVE = 0.5
+MAX_LEVEL = 4.0  # in multiples of the fleet's mean: a higher reported load is cut to it
+# 8 s: decay time of a reported surplus; names stay popular for longer than a send is in flight
+SURPLUS_DECAY = 80_000
+# Sends in flight per link at full rate. Below it load says nothing, and from a mean of 0 no estimate could
+# rise in proportion to the mean.
+MIN_SCALE = 1.0
 
 
 class Estimate:
+    """The estimate for one cache, with the report it is based on."""
+
     __slots__ = ("report", "level", "weight", "updated_at")
 
     def __init__(self, weight):
@@ -32,14 +38,15 @@
 
 
 class LoadEstimates:
-    """Sends that all others have out, by cache; of one weight unit where rows are compared."""
+    """The sends that all others have in flight, by cache, per unit of weight where caches are compared."""
 
     def __init__(self, terms):
         self.terms, self.rows = terms, {}
-        self.level_sum = self.weight_sum = 0.0  # of the rows that were ever told: levels, and weights
-        self.newest = None  # when the newest news of any cache were true
+        self.level_sum = self.weight_sum = 0.0  # over the caches that were ever reported
+        self.newest = None  # time of the newest report of any cache
 
     def listed(self, cache, weight):
+        """Adds a cache, or changes its weight."""
         row = self.rows.get(cache)
         if row is None:
             self.rows[cache] = Estimate(weight)
@@ -48,16 +55,18 @@
             row.weight = weight
 
     def forget(self, cache):
+        """Removes a cache."""
         row = self.rows.pop(cache, None)
         if row is not None and row.updated_at is not None:
             self.level_sum -= row.level
             self.weight_sum -= row.weight
 
     def mean(self):
-        """Of the others' sends out, for one unit of weight."""
+        """Returns the mean of the others' sends in flight per unit of weight."""
         return self.level_sum / self.weight_sum if self.weight_sum else 0.0
 
     def record(self, now, summary):
+        """Records sharing's Summary of one cache, unless a newer one is known."""
         row = self.rows.get(summary.cache)
         if row is None or not row.report.record(now, summary, self.terms):
             return
@@ -74,17 +83,20 @@
         row.level, row.updated_at = level, now
 
     def discounted(self, row, now):
-        """What the news say by now: near the mean the older they are, since sends come back."""
+        """Returns the reported load drawn toward the mean, the more the older the report, since sends
+        complete.
+        """
         age = max(0, now - row.report.measured_at)
         mean = self.mean() * row.weight
         worth = reported_load.STATE_WEIGHT[row.report.state] if row.updated_at is not None else 1.0
         return mean + (row.report.in_flight - mean) * worth * self.age_weight(age)
 
     def age_weight(self, age):
+        """Returns the weight of a report of this age, in tenths of a millisecond."""
         return 1.0 if age <= self.terms.period else exp(-(age - self.terms.period) / SURPLUS_DECAY)
 
     def follow(self, row, target, now):
-        """The level moves toward what was told, the slower the older the news."""
+        """Returns the level moved toward the target, the slower the older the report."""
         age, span = max(0, now - row.report.measured_at), max(1, now - row.updated_at)
         step = (target - row.level) * span / (span + SETTLING_AGES * age)
         scale = self.scale(row)
@@ -92,15 +104,17 @@
         return min(MAX_LEVEL * scale, max(0.0, row.level + min(max_step, max(-max_step, step))))
 
     def scale(self, row):
-        """What moves are bounded by: the mean, or what a link carries at full pace where that is more."""
+        """Returns what bounds a move: the mean, or the load of a link at full rate where that is more."""
         return max(MIN_SCALE, self.mean()) * row.weight
 
     def alone(self, now):
-        """Whether nothing of any cache was heard lately: then each decides as if there were no fleet."""
+        """Returns whether no cache was reported lately; the router then decides on its own."""
         return self.newest is None or now - self.newest > self.terms.silent_after
 
     def others(self, cache, now):
-        """Sends, or None where this router is alone; a cache of which nothing is known counts as average."""
+        """Returns the others' sends in flight, or None without recent reports; a cache without any counts as
+        average.
+        """
         if self.newest is None or now - self.newest > self.terms.silent_after:
             return None
         row = self.rows.get(cache)
@@ -111,7 +125,9 @@
         return row.level
 
     def fading(self, row, now):
-        """No step where news end: from the level to the mean, and no sooner than the fleet is silent."""
+        """Returns the level on its way to the mean after the reports have ended, without a jump; it gets
+        there no sooner than the fleet counts as silent.
+        """
         mean = self.mean() * row.weight
         if row.updated_at is None:
             return mean
--- a/hookrouter/decisions/spread/messages.py
+++ b/hookrouter/decisions/spread/messages.py
@@ -1,6 +1,6 @@
-"""What members tell each other of shares of cold caches, and what spread goes by.
+"""Messages between members about cold caches and those set aside, and the settings of this package.
 
-Times are whole tenths of a millisecond of a clock that nobody sets; none crosses the wire, only spans.
+Times are whole tenths of a millisecond of a steady clock; only durations go on the wire.
 """
 
 from typing import Annotated, NamedTuple
@@ -8,39 +8,39 @@
 import msgspec
 
 MAX_WHOLE = 1 << 53
-MAX_UNITS = 4_096  # of a cold cache's allowance: one for each stated router of the fleet
+MAX_UNITS = 4_096  # of one cold cache: one for each configured router of the fleet
 
 Whole = Annotated[int, msgspec.Meta(ge=0, le=MAX_WHOLE)]
 Unit = Annotated[int, msgspec.Meta(ge=0, lt=MAX_UNITS)]
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=128)]
-TOPIC = "share"  # of the exchange's posts
+TOPIC = "share"  # of the posts
 
 
 class UnitRequest(msgspec.Struct, tag="Ask", array_like=True, frozen=True):
-    """Wants a share of what this cold cache bears. number: the asker's own, one for each asking."""
+    """Requests a unit of this cold cache. number: counts the requests of the sender."""
 
     cache: Name
-    born: Whole  # its start: what was ceded of another life of it is worth nothing
-    incarnation: Whole  # the asker's process
+    born: Whole  # start of the cache: units of an earlier start are void
+    incarnation: Whole  # of the requester
     number: Whole
 
 
 class UnitGrant(msgspec.Struct, tag="Cede", array_like=True, frozen=True):
-    """The sender's unit is the asker's, for a lease from the moment of its asking by the asker's clock.
-    after: the last turn of the unit that the sender may have used.
+    """Grants the sender's unit for a lease that began with the request, by the requester's clock. last_turn:
+    the last turn of the unit that the sender may have used.
     """
 
     cache: Name
     born: Whole
-    incarnation: Whole  # the asker's
-    number: Whole  # the asking that this answers
+    incarnation: Whole  # of the requester
+    number: Whole  # of the request
     unit: Unit
     last_turn: Annotated[int, msgspec.Meta(ge=-1, le=MAX_WHOLE)]
 
 
 class ProbeResult(msgspec.Struct, tag="Word", array_like=True, frozen=True):
-    """What the sender found, so long ago, when it tried a cache that was set aside. cold: since when it takes
-    it for cold, as an age; -1: it does not.
+    """The result, with its age, of the sender's probe of a cache that was set aside. cold_age: age of the
+    start that the sender takes the cache to have had, or -1.
     """
 
     cache: Name
@@ -53,40 +53,42 @@
 
 
 class ColdTerms(NamedTuple):
-    """What a cold cache of one sort bears, as Control hands it out in turns."""
+    """The capacity of a kind of cold cache, as Control hands it out in turns."""
 
-    share: float  # of its full capacity, at its start
+    share: float  # part of its full capacity at its start
     span: int  # until it is warm
-    pace: float  # turns in a tenth of a millisecond of full capacity
-    burst: float  # turns, times what it is able to: for so long a turn stays open
+    pace: float  # turns per tenth of a millisecond at full capacity
+    burst: float  # turns at full capacity: the time for which a turn stays open
 
 
 class SpreadTerms(NamedTuple):
-    number: int  # this router's, of `routers` stated: its own unit of each cold cache
+    """Settings of a router for this package, with its place in the fleet."""
+
+    number: int  # this router's, below routers: its own unit of each cold cache
     routers: int
     zone: str = ""
     turn_work: float = 1.0  # work of a turn
-    cold: ColdTerms | None = None  # of caches; None: the deployment states none
+    cold: ColdTerms | None = None  # of caches; None where the deployment has no such limit
     parent_cold: ColdTerms | None = None
     parent_machine_type: str | None = None
     origin_machine_type: str | None = None
-    lease: int = 20_000  # 2 s: short beside a cold start, long beside a delay of the network
-    drift: float = 0.01  # between two clocks that nobody sets
-    slack: int = 500  # 50 ms: clocks by which turns open differ by less
-    period: int = 2_000  # 200 ms between news of one teller
+    lease: int = 20_000  # 2 s: short against a cold start, long against a network delay
+    drift: float = 0.01  # relative drift between two steady clocks
+    slack: int = 500  # 50 ms: an upper bound on the difference of the wall clocks by which turns open
+    period: int = 2_000  # 200 ms between reports of one member
     fresh_for: int = 30_000  # 3 s
-    silent_after: int = 100_000  # 10 s: older news say nothing of load
+    silent_after: int = 100_000  # 10 s: older reports say nothing of the load
 
 
 class Started(NamedTuple):
-    """An effect: this cache was silent and may have started so long ago, so it counts as cold here, too."""
+    """An effect: the cache was silent and may have started this long ago, so it counts as cold here too."""
 
     cache: str
     age: int
 
 
 class Post(NamedTuple):
-    """An effect: this message to that member; it may be lost."""
+    """An effect: sends this message to a member. It may be lost."""
 
     recipient: str
     message: Message
--- a/hookrouter/decisions/spread/reported_load.py
+++ b/hookrouter/decisions/spread/reported_load.py
@@ -1,9 +1,9 @@
-"""News of a cache's load: how far they may be trusted by now. A table of state, input -> next state."""
+"""The last reported load of a cache, with a state machine for how far it can be trusted."""
 
 FRESH, OLD, SILENT, DOUBTED = "fresh", "old", "silent", "doubted"
 REPORTED, DOUBT, AGED, TOO_OLD = "news", "doubt", "aged", "lost"
 
-# Weight of the news against what is known without: the fleet's mean.
+# Weight of the report against the fleet's mean, which is known without it.
 STATE_WEIGHT = {FRESH: 1.0, OLD: 0.5, SILENT: 0.0, DOUBTED: 0.25}
 
 TABLE = {
@@ -27,7 +27,7 @@
 
 
 class ReportedLoad:
-    """What is told of one cache. made: when the news were true, by this router's clock."""
+    """The load that was reported for one cache. measured_at: when it was true, by this router's clock."""
 
     __slots__ = ("state", "measured_at", "in_flight", "rate", "received_at")
 
@@ -41,7 +41,7 @@
         )
 
     def record(self, now, summary, terms):
-        """Whether they say more than what is known: older ones than those at hand change nothing."""
+        """Records a report; returns False for one that is no newer than the last."""
         measured_at = now - summary.age
         if self.measured_at is not None and measured_at <= self.measured_at:
             return False
@@ -52,7 +52,7 @@
         return True
 
     def state_at(self, now, terms):
-        """The state by now."""
+        """Updates and returns the state at this time."""
         if self.measured_at is not None:
             age = now - self.measured_at
             if age > terms.silent_after:
--- a/hookrouter/decisions/spread/shares.py
+++ b/hookrouter/decisions/spread/shares.py
@@ -1,11 +1,12 @@
-"""What a cold cache bears, in units, one for each stated router: who may spend a unit, by leases.
-
-Control hands a cold cache's allowance out in turns, which go round the routers (tables/turn_order.py). So
-a unit is a row of turns, and the allowance is kept as long as no turn is spent by two. A unit belongs to the
-router of its number for good. It may cede it for a lease to one that asks: it stops before it tells, and
-spends again once the lease is over by its own clock with the drift of both; the asker's lease began when it
-asked, by the asker's clock, so it has ended by then whatever the network did (Gray and Cheriton, Leases,
-1989). Turns that were open at a change of hands are spent by neither.
+"""Leases on the capacity of a cold cache: one unit for each configured router, spent by one router at a time.
+
+Control hands out a cold cache's allowance in turns, which go round the routers (tables/turn_order.py). A unit
+is the sequence of turns of one router number, and the allowance holds as long as no turn is spent twice. A
+unit belongs to the router with its number, which may cede it for the time of a lease to a router that
+requests one. The owner stops before it sends the grant, and resumes once the lease is over by its own clock
+plus the drift of both. The lease of the requester began with its request, by its own clock, so it has ended
+by then whatever the network did (Gray and Cheriton, Leases, 1989). Turns that were open when a unit changed
+hands are spent by neither.
 """
 
 from . import turns
@@ -15,25 +16,27 @@
 GIVE, ASK, GRANTED, EXPIRED = "give", "ask", "got", "over"
 OWN, BORROWED = "own", "lent"
 
-# whose it is, state, input -> next state
+# (ownership, state, event) -> next state
 TABLE = {
     (OWN, HELD, GIVE): CEDED,
     (OWN, CEDED, EXPIRED): HELD,
-    (OWN, LAPSED, EXPIRED): HELD,  # a former life of this router may have ceded it
+    (OWN, LAPSED, EXPIRED): HELD,  # a former incarnation of this router may have ceded it
     (BORROWED, LAPSED, ASK): ASKED,
     (BORROWED, ASKED, GRANTED): HELD,
     (BORROWED, ASKED, EXPIRED): LAPSED,
     (BORROWED, HELD, EXPIRED): LAPSED,
 }
 
-MAX_BORROWED = 16  # units of one cache at once, and asks that are open
-IDLE_BEFORE_SPARE = 5_000  # 500 ms without a wish of its own: then a router has a unit to spare
-MAX_LEASE_PART = 0.7  # of a lease: a turn that opens later would lapse before the asker could use it
-REQUESTS_PER_ROUND = 2  # members in one go: most have no turn that opens soon
+MAX_BORROWED = 16  # units of one cache at a time, with open requests
+IDLE_BEFORE_SPARE = 5_000  # 500 ms without demand: then a router can spare its unit
+MAX_LEASE_PART = 0.7  # part of a lease: a turn that opens later might come after its end
+REQUESTS_PER_ROUND = 2  # members asked at a time: most have no turn that opens soon
 
 
 class Unit:
-    """One that this router may spend, or has ceded, or has asked for."""
+    """A unit that this router may spend, has ceded or has requested. Its budget is work of the turn that is
+    open.
+    """
 
     __slots__ = ("ownership", "state", "expires_at", "number", "last_turn", "turn", "budget", "granted")
 
@@ -46,60 +49,64 @@
             last_turn,
         )
         self.turn, self.budget = -1, 0.0
-        self.granted = None  # (asker, its life, its asking, after): a doubled asking gets the same answer
+        # (requester, its incarnation, request number, last turn): a duplicate request gets the same answer
+        self.granted = None
 
 
 class ColdCache:
-    """A cold cache."""
+    """A cold cache with the units of it that concern this router."""
 
     __slots__ = ("born", "weight", "terms", "own_unit", "borrowed_units", "wanted_at", "refusals", "chosen")
 
     def __init__(self, born, weight, terms, own):
         self.born, self.weight, self.terms, self.own_unit = born, weight, terms, own
-        self.borrowed_units = {}  # number of the asking -> Unit
+        self.borrowed_units = {}  # number of the request -> Unit
         self.wanted_at, self.refusals, self.chosen = None, 0, None
 
 
 class Shares:
+    """The units of all cold caches, as one router sees them. now: the router's steady clock; wall: the wall
+    clock, by which turns open. Times are tenths of a millisecond.
+    """
+
     def __init__(self, terms, incarnation, now):
         self.terms, self.incarnation, self.started_at = terms, incarnation, now
         self.requests_made, self.rows = 0, {}
-        # By the ceder's clock: the asker's lease, stretched by both drifts, and what is lost to rounding.
+        # By the owner's clock: the requester's lease, stretched by the drift of both clocks, and rounding.
         self.cede_duration = int(terms.lease * (1 + 3 * terms.drift)) + terms.slack
 
     # ---- caches
 
     def start(self, cache, born, weight, cold, now, wall):
-        """It has started anew, or is met for the first time."""
+        """Adds a cold cache that has started or is seen for the first time."""
         row = self.rows.get(cache)
         if row is not None and row.born == born:
             row.weight = weight
             return
         if wall >= born + cold.span:
             return
-        expires_at = (
-            self.started_at + self.cede_duration
-        )  # one just started may have ceded its unit in the life before
+        # A former incarnation of this router may have ceded the unit.
+        expires_at = self.started_at + self.cede_duration
         if row is not None and row.own_unit.state != HELD:
-            expires_at = max(
-                expires_at, row.own_unit.expires_at
-            )  # whoever holds it may not have heard of the cache's start
+            # Its holder may not have heard that the cache started again.
+            expires_at = max(expires_at, row.own_unit.expires_at)
         own = Unit(OWN, LAPSED if now < expires_at else HELD, expires_at, self.terms.number)
         row = self.rows[cache] = ColdCache(born, weight, cold, own)
-        own.last_turn = turns.open_turn(row, own.number, wall, self.terms)[
-            0
-        ]  # Control may have used it alone
+        # Control may have spent the open turn without this table
+        own.last_turn = turns.open_turn(row, own.number, wall, self.terms)[0]
 
     def forget(self, cache):
+        """Removes a cache."""
         self.rows.pop(cache, None)
 
     # ---- time
 
     def step(self, unit, event):
+        """Moves a unit to its next state; raises KeyError where TABLE has none."""
         unit.state = TABLE[unit.ownership, unit.state, event]
 
     def expire(self, row, now, wall):
-        """What is over by now. The first act after any wait."""
+        """Ends the leases that are over. Called first after any wait."""
         own = row.own_unit
         if own.state != HELD and now >= own.expires_at:
             self.step(own, EXPIRED)
@@ -114,7 +121,9 @@
     # ---- spending
 
     def allows(self, cache, now, wall, cost):
-        """Whether a send of that cost may go there now; None: not a cold cache as far as is known here."""
+        """Returns whether a send of this cost may go to the cache now, or None where the cache is not known
+        as cold.
+        """
         row = self.rows.get(cache)
         if row is None:
             return None
@@ -132,6 +141,7 @@
         return False
 
     def can_pay(self, row, unit, wall, cost):
+        """Returns whether the unit's open turn has the budget for this cost."""
         turn, fresh = turns.open_turn(row, unit.number, wall, self.terms)
         if turn <= unit.last_turn or not fresh:
             return False
@@ -140,6 +150,7 @@
         return unit.budget >= min(cost, self.terms.turn_work)
 
     def sent(self, cache, cost):
+        """Charges a send to the unit that allowed it."""
         row = self.rows.get(cache)
         if row is not None and row.chosen is not None:
             row.chosen.budget -= cost
@@ -147,7 +158,9 @@
     # ---- moving
 
     def request_units(self, cache, now, wall, pick):
-        """Asks of members by pick(n), where this router could not send what it had."""
+        """Returns requests to the members that pick(n) chooses, where sends were refused since
+        the last call.
+        """
         row, posts = self.rows[cache], []
         self.expire(row, now, wall)
         shortfall, row.refusals = row.refusals, 0
@@ -163,7 +176,9 @@
         return posts
 
     def can_spare(self, row, now, wall):
-        """Whether the own unit is better with another: no wish for it here, and its turn comes soon."""
+        """Returns whether the own unit is of more use elsewhere: no demand here, and its next turn opens
+        soon.
+        """
         own = row.own_unit
         if own.state != HELD or own.budget < 0 or row.refusals:
             return False
@@ -172,6 +187,7 @@
         return turns.time_to_next_turn(row, own.number, wall, self.terms) < MAX_LEASE_PART * self.terms.lease
 
     def receive(self, now, wall, sender, message):
+        """Handles a request or a grant of another member; returns the messages to post."""
         row = self.rows.get(message.cache)
         if row is None or row.born != message.born:
             return []
@@ -182,7 +198,8 @@
 
     def _handle_request(self, row, now, wall, sender, request):
         own, request_id = row.own_unit, (sender, request.incarnation, request.number)
-        if own.state == CEDED and own.granted[:3] == request_id:  # heard twice, or its answer was lost
+        # a duplicate request, or the answer was lost
+        if own.state == CEDED and own.granted[:3] == request_id:
             return [Post(sender, self._grant(row, request))]
         if not self.can_spare(row, now, wall):
             return []
@@ -190,7 +207,7 @@
         return [Post(sender, self._grant(row, request))]
 
     def _cede_unit(self, row, own, now, wall, request_id):
-        """Before it is told: from here on this router spends none of it."""
+        """Stops spending the own unit; called before the grant is sent."""
         self.step(own, GIVE)
         own.expires_at, own.budget = now + self.cede_duration, 0.0
         own.last_turn = turns.open_turn(row, own.number, wall, self.terms)[0]
@@ -205,7 +222,7 @@
     def _handle_grant(self, row, grant):
         unit = row.borrowed_units.get(grant.number)
         if grant.incarnation != self.incarnation or unit is None or unit.state != ASKED:
-            return []  # of a former life, too late, or told twice
+            return []  # of a former incarnation, too late, or a duplicate
         if grant.unit == self.terms.number or grant.unit >= self.terms.routers:
             return []
         if any(other.number == grant.unit and other.state == HELD for other in row.borrowed_units.values()):
--- a/hookrouter/decisions/spread/spread.py
+++ b/hookrouter/decisions/spread/spread.py
@@ -1,6 +1,6 @@
-"""What the routers tell each other of caches' load, as one router's Control asks for it.
+"""What routers tell each other of the load of caches, as the Control of one router asks for it.
 
-Fed by its executor; asked by Control at each send, a look-up in a table each time.
+The executor feeds it. Control asks it at each send, which costs one table lookup.
 """
 
 from hashlib import blake2b
@@ -14,10 +14,10 @@
 from .shares import Shares
 from .trickle import Trickle
 
-# Times busier. Between them a name at a router has a lead of its own, for good: a cache that is somewhat busy
-# loses some of its lookups, not all at one moment, and the same ones each time.
+# In multiples of the load. Each name has a fixed lead of its own between these bounds at each router, so a
+# cache that is somewhat busy loses some of its lookups, always the same ones, instead of all at one moment.
 MIN_LEAD, MAX_LEAD = 1.0, 2.0
-LEAD_RANGE = 1 << 16  # of a drawn lead
+LEAD_RANGE = 1 << 16  # resolution of a drawn lead
 
 DECODER = msgspec.msgpack.Decoder(Message)
 ENCODER = msgspec.msgpack.Encoder()
@@ -25,7 +25,7 @@
 
 
 def spread_terms(terms, **more):
-    """SpreadTerms from a router's Terms."""
+    """Builds SpreadTerms from a router's Terms."""
     topology = terms.topology
     zone_routers, routers = (
         max(1, topology.routers_by_zone[topology.zones.index(topology.zone)]),
@@ -58,11 +58,13 @@
 
 
 class Spread:
-    """terms: SpreadTerms; me: (name, life) of this member; now: its clock that nobody sets."""
+    """Decides by the state that members of the fleet exchange. terms: SpreadTerms; member_id: (name,
+    incarnation) of this member; now: its steady clock. Times are tenths of a millisecond.
+    """
 
-    lead_salt = (
-        None  # hashed with a name for its lead: the router's, since one name may be a cache's whole due
-    )
+    # Hashed with a name for its lead; by default the router's name, since a single name may be the whole load
+    # of a cache.
+    lead_salt = None
 
     def __init__(self, terms, member_id, seed, now=0):
         self.terms, self.member_id, self.rng = terms, member_id, Random(seed)
@@ -70,13 +72,15 @@
         self.shares = Shares(terms, member_id[1], now)
         if self.lead_salt is None:
             self.lead_salt = member_id[0]
-        self.members = ()  # others that may be asked
-        self.machine_types = {}  # cache -> its machine kind
+        self.members = ()  # other members that may be asked
+        self.machine_types = {}  # cache -> its machine type
 
     # ---- from the executor
 
     def listed(self, now, caches, wall=None, whole=False):
-        """Lines of the list of caches, all of them or those that changed; starts are told by the wall."""
+        """Updates the list of caches, in whole or by its changes. Starts of caches are given by the wall
+        clock.
+        """
         wall = now if wall is None else wall
         if whole:
             for cache_id in set(self.machine_types) - {cache.id for cache in caches}:
@@ -105,17 +109,18 @@
         self.trickle.rows.pop(cache, None)
 
     def set_members(self, names):
-        """Who is alive, this member too, in an order that all have."""
+        """Sets the names of the live members, this one included, in an order that all share."""
         self.trickle.set_members(tuple(names))
         self.members = tuple(name for name in names if name != self.member_id[0])
 
     def news(self, now, summary):
-        """sharing's Summary of one cache."""
+        """Records sharing's Summary of one cache."""
         self.loads.record(now, summary)
 
     def observe(self, now, cache, aside, attempt, cold_age=-1):
-        """Whether it is set aside here; mark: another one each time that it is so anew; cold: age of a start
-        that it is taken to have had. Posts that tell what this router found.
+        """Records whether this router has set the cache aside, and returns messages with the result of its
+        own probe. attempt: changes each time that the cache is set aside again; cold_age: age of the start
+        that the cache is taken to have had, or -1.
         """
         found = self.trickle.observe(now, cache, aside, attempt)
         return (
@@ -125,14 +130,16 @@
         )
 
     def tick(self, now, wall):
-        """Posts that are due: asks for shares."""
+        """Returns the messages that are due: requests for units."""
         posts = []
         for cache in list(self.shares.rows):
             posts += self.shares.request_units(cache, now, wall, self._pick_members)
         return posts
 
     def receive(self, now, wall, sender, data):
-        """Bytes posted by that member; Posts that answer, or Started. What cannot be read changes nothing."""
+        """Handles the bytes that a member posted; returns messages to post, or Started. Invalid ones are
+        ignored.
+        """
         try:
             message = DECODER.decode(data)
         except DECODE_ERRORS:
@@ -142,7 +149,9 @@
         return self.shares.receive(now, wall, sender, message)
 
     def _receive_probe_result(self, now, result):
-        """What a finder takes for cold is so for all who did not try, or they would push it over at once."""
+        """Where the prober takes the cache for cold, members that did not probe do so too, so as not to
+        overload it all at once.
+        """
         is_sought = self.trickle.rows.get(result.cache) is not None
         self.trickle.receive(now, result.cache, result.healthy, result.age)
         return (
@@ -157,18 +166,24 @@
     # ---- from Control
 
     def others(self, cache, now):
+        """Returns the others' sends in flight at the cache, or None where nothing was reported lately."""
         return self.loads.others(cache, now)
 
     def lead(self, name):
-        """How many times busier its top cache must be before this name goes to the next, at this router."""
+        """Returns how many times more loaded its top cache must be before this name moves to the next at this
+        router.
+        """
         drawn = blake2b((name + self.lead_salt).encode(), digest_size=2, person=b"lead").digest()
         return MIN_LEAD + (MAX_LEAD - MIN_LEAD) * int.from_bytes(drawn, "big") / LEAD_RANGE
 
     def allowance(self, cache, now, cost, wall=None):
+        """Returns whether a cold cache may get a send of this cost now, or None where it is not cold."""
         return self.shares.allows(cache, now, now if wall is None else wall, cost)
 
     def sent(self, cache, now, cost):
+        """Charges a send to a cold cache."""
         self.shares.sent(cache, cost)
 
     def tries(self, cache, now):
+        """Returns whether this router may send to the cache; False while another member probes it."""
         return self.trickle.tries(cache, now)
--- a/hookrouter/decisions/spread/trickle.py
+++ b/hookrouter/decisions/spread/trickle.py
@@ -1,8 +1,10 @@
-"""A cache that was set aside is found again by few, and told: not by each router's own trickle.
+"""Probing of a cache that was set aside: few members probe it and tell the others, instead of all probing at
+once.
 
-Members have an order for each cache, by a hash that all share. The first tries; each step of time without
-word doubles how many may. Who hears that it is well tries at once. Whatever others tell, after a stated time
-each router tries by itself, so no cache stays idle for a lie or for a finder that sees no lookups.
+Members have an order for each cache, by a shared hash. The first one probes, and each step of time without a
+result doubles the number that may. A member that hears of a success uses the cache at once. After a stated
+time each router probes on its own whatever others tell, so no cache stays idle because of a false result or
+of a prober without lookups.
 """
 
 from hashlib import blake2b
@@ -10,8 +12,8 @@
 HEALTHY, SOUGHT, FOUND = "well", "sought", "found"
 SET_ASIDE, CLEARED, REPORTED_HEALTHY, REPORTED_FAILING = "aside", "cleared", "told well", "told sick"
 
-STEP = 5_000  # 500 ms: as long as a try and its word take
-MAX_WAIT = 30_000  # 3 s since it was set aside here: then each tries by itself
+STEP = 5_000  # 500 ms: the time of a probe and of the message with its result
+MAX_WAIT = 30_000  # 3 s since it was set aside here; then each router probes on its own
 MAX_RANKED_MEMBERS = 1_024  # whose order is counted
 
 TABLE = {
@@ -31,6 +33,8 @@
 
 
 class Row:
+    """The state of one cache that was set aside. attempt: identifies the last probe, see observe()."""
+
     __slots__ = ("state", "set_aside_at", "last_result_at", "rank", "attempt")
 
     def __init__(self):
@@ -44,18 +48,20 @@
 
 
 class Trickle:
+    """The caches that this router has set aside, and whose turn it is to probe them."""
+
     def __init__(self, own_name):
         self.own_name, self.members, self.rows = own_name, (), {}
 
     def set_members(self, members):
-        """Names of the living members that meet the same caches; this one too."""
+        """Sets the names of the live members that use the same caches, this one included."""
         if members != self.members:
             self.members = members
             for row in self.rows.values():
                 row.rank = None
 
     def rank(self, cache):
-        """How many of the members come before this one."""
+        """Returns how many of the members come before this one."""
 
         def place(name):
             return blake2b(f"{cache}|{name}".encode(), digest_size=8).digest()
@@ -64,8 +70,8 @@
         return sum(name != self.own_name and place(name) < mine for name in self.members[:MAX_RANKED_MEMBERS])
 
     def observe(self, now, cache, aside, attempt=None):
-        """What this router itself holds of it, at each tick. True or False: it was tried here and found well
-        or not, which is to be told; None: nothing new.
+        """Records whether this router has set the cache aside, at each tick. Returns True or False where its
+        own probe has just succeeded or failed, which is to be told to others, and None without such a result.
         """
         row = self.rows.get(cache)
         if row is None:
@@ -75,7 +81,7 @@
             row.set_aside_at = row.last_result_at = now
             row.attempt = attempt
         elif aside and attempt != row.attempt:
-            row.attempt, row.last_result_at = attempt, now  # tried, in vain
+            row.attempt, row.last_result_at = attempt, now  # a failed probe
             self._step(row, REPORTED_FAILING)
             return False
         self._step(row, SET_ASIDE if aside else CLEARED)
@@ -85,7 +91,9 @@
         return None
 
     def receive(self, now, cache, healthy, age):
-        """Another's word of what it saw so long ago: counts where it is newer than what was seen here."""
+        """Records another member's result of this age; it counts where it is newer than the last one known
+        here.
+        """
         row = self.rows.get(cache)
         if row is None or now - age <= row.last_result_at:
             return
@@ -93,7 +101,7 @@
         self._step(row, REPORTED_HEALTHY if healthy else REPORTED_FAILING)
 
     def tries(self, cache, now):
-        """Whether this router may look if it is well again; True for what is not set aside."""
+        """Returns whether this router may probe the cache; True where it is not set aside."""
         row = self.rows.get(cache)
         if row is None or row.state != SOUGHT or now - row.set_aside_at >= MAX_WAIT:
             return True
--- a/hookrouter/decisions/warming/fill_gate.py
+++ b/hookrouter/decisions/warming/fill_gate.py
@@ -3,9 +3,8 @@
 from .pace import fair_share
 from .rank import hash_key, rank
 
-SLOTS_PER_SOURCE = (
-    4  # fills out at one source for all warmings together: a tenth of what its link carries at full pace
-)
+# fills out at one source for all warmings together: a tenth of what its link carries at full pace
+SLOTS_PER_SOURCE = 4
 MAX_IN_FLIGHT = 16  # fills out at one target: a step; the cold allowance binds before
 
 
--- a/hookrouter/decisions/warming/planning.py
+++ b/hookrouter/decisions/warming/planning.py
@@ -14,15 +14,12 @@
 STEP_SIZE = 16  # names: what a successor may repeat
 HORIZON = 300_000  # 30 s: lookups so far ahead count; a copy that is not asked for by then may wait
 MIN_LOOKUPS = 0.5  # within the horizon or the copy's freshness: below it most fills are for nothing
-SECOND_CANDIDATE_SHARE = (
-    0.1  # of a name's lookups come to its second candidate: the router's lead is two to one
-)
-MIN_LOOKUPS_VIA_PARENT = (
-    3.0  # the same where it comes from a parent: that may have to ask the origin, sooner than needed
-)
-LARGE_SIZE = (
-    1_000_000  # bytes: what is larger must be asked for in proportion, or it shuts out a hundred others
-)
+# of a name's lookups come to its second candidate: the router's lead is two to one
+SECOND_CANDIDATE_SHARE = 0.1
+# the same where it comes from a parent: that may have to ask the origin, sooner than needed
+MIN_LOOKUPS_VIA_PARENT = 3.0
+# bytes: what is larger must be asked for in proportion, or it shuts out a hundred others
+LARGE_SIZE = 1_000_000
 FIXED_COST = 20_000  # bytes: what a fill costs beside its size
 MIN_SIZE_RATIO = 0.25  # of the mean size: a name said to be tiny is not let past all others
 MAX_NAMES = 4_096
--- a/hookrouter/decisions/warming/steps.py
+++ b/hookrouter/decisions/warming/steps.py
@@ -61,11 +61,8 @@
         self.terms, self.borrowed, self.state = terms, borrowed, NOTED
         self.number = self.done = 0
         self.awaited_peers, self.former_plans, self.deadline, self.peers = set(), [], 0, ()
-        self.steps, self.step_index, self.name_index = (
-            [],
-            0,
-            0,
-        )  # the step that is worked, the next name in it
+        # the step that is worked, the next name in it
+        self.steps, self.step_index, self.name_index = [], 0, 0
         self.in_flight, self.purged_names, self.counts = {}, set(), Counter()
         self.now, self.effects, self.cause = 0, [], ""
         self.purges_checked, self.consecutive_failures, self.held_since = (0, 0), 0, 0
