--- a/benchmarks/warming/model.py
+++ b/benchmarks/warming/model.py
@@ -25,14 +25,14 @@
                 and (
                     one.state,
                     one.done,
-                    one.recorded_steps,
+                    one.recorded,
                     one.step_index,
                     one.name_index,
                     sorted(one.in_flight),
                     sorted(one.awaited_peers),
                     sorted(one.purged_names),
                     [[entry.name for entry in step] for step in one.steps],
-                    one.consecutive_failures,
+                    one.failures_in_a_row,
                 ),
             )
         )
--- a/hookrouter/decisions/admission/tickets.py
+++ b/hookrouter/decisions/admission/tickets.py
@@ -45,17 +45,17 @@
 def read(key, text, name):
     """Returns the Ticket; raises InvalidTicket where the text is not sealed by this key for this name."""
     if len(text) > MAX_CHARACTERS:
-        raise InvalidTicket("longer than a ticket")
+        raise InvalidTicket("the ticket is too long")
     try:
         data = bytes.fromhex(text)
     except ValueError:
-        raise InvalidTicket("not a ticket's text") from None
+        raise InvalidTicket("the ticket is not hexadecimal") from None
     if not hmac.compare_digest(hmac.digest(key, data[SEAL_BYTES:], "sha256")[:SEAL_BYTES], data[:SEAL_BYTES]):
-        raise InvalidTicket("another seal")
+        raise InvalidTicket("the seal of the ticket is invalid")
     try:
         ticket = _decode(data[SEAL_BYTES:])
     except msgspec.MsgspecError as error:
-        raise InvalidTicket(f"not a ticket of this version: {error}") from None
+        raise InvalidTicket(f"the ticket cannot be decoded: {error}") from None
     if ticket.name != name:
-        raise InvalidTicket("another's ticket")
+        raise InvalidTicket("the ticket is for another name")
     return ticket
--- a/hookrouter/decisions/warming/__init__.py
+++ b/hookrouter/decisions/warming/__init__.py
@@ -1,7 +1,8 @@
-"""Warming, without I/O: what a cache that starts or inherits will be asked for is put there before.
+"""Warming of caches that start or take over names: what they will be asked for is filled in advance. No I/O.
 
-What was asked is counted by each router (sketch), lent to others (lists), made into a plan for one cache by
-its owner (plan), and filled in steps (steps) within what the cold cache and the sources bear (pace).
+Each router counts its lookups (sketch) and lends its popularity list to others (lists). The owner of a
+warming makes a plan for one cache from borrowed lists (planning) and fills it in steps (steps), within the
+limits of the cold cache and of the sources (pace).
 """
 
 from .fill_gate import FillGate
--- a/hookrouter/decisions/warming/fill_gate.py
+++ b/hookrouter/decisions/warming/fill_gate.py
@@ -1,31 +1,39 @@
-"""Whether a fill may go now, and from where: looked at before each, for the scene changes meanwhile."""
+"""Decides whether a fill may be sent now and from which source, by the state of the location before each
+fill.
+"""
 
 from .pace import fair_share
 from .rank import hash_key, rank
 
-# fills out at one source for all warmings together: a tenth of what its link carries at full pace
+# Fills in flight at one source for all warmings together: a tenth of what its link carries at full rate.
 SLOTS_PER_SOURCE = 4
-MAX_IN_FLIGHT = 16  # fills out at one target: a step; the cold allowance binds before
+# fills in flight at one target, which is one step; the cold allowance is the tighter bound
+MAX_IN_FLIGHT = 16
 
 
 class FillGate:
-    """One warming's. allowance: of the cold target, or None for an heir that is warm."""
+    """The gate of one warming. allowance: of the cold target, or None for a warm one that takes
+    over names.
+    """
 
     def __init__(self, target, allowance=None, slots=SLOTS_PER_SOURCE, max_in_flight=MAX_IN_FLIGHT):
         self.target, self.allowance, self.slots, self.max_in_flight = target, allowance, slots, max_in_flight
         self.now, self.open, self.warm, self.parents = 0, False, frozenset(), ()
-        self.active, self.position, self.work_per_byte = 1, 0, 1.0  # work a byte
+        self.active, self.position, self.work_per_byte = 1, 0, 1.0  # work_per_byte: the cost of a fill
 
     def update(self, now, open, warm, parents, active=1, position=0):
-        """The location as the list of caches has it now; active, place: of the warmings under way."""
+        """Sets the state of the location by the list of caches. active, position: the number of warmings in
+        progress and the position of this one.
+        """
         self.now, self.open, self.warm, self.parents = now, open, warm, parents
         self.active, self.position = active, position
 
     def set_time(self, now):
+        """Sets the present time."""
         self.now = now
 
     def source_for(self, entry, in_flight):
-        """The source of a fill that may go now, None for the origin; False where none may."""
+        """Returns the source of a fill that may be sent now, None for the origin, or False where none may."""
         if not self.open or len(in_flight) >= self.max_in_flight:
             return False
         source = self._source(entry)
@@ -39,7 +47,9 @@
         return source
 
     def _source(self, entry):
-        """The planned one while it is ready and warm; else a parent by the hash, at last the origin."""
+        """Returns the planned source while it is ready and warm, else a parent by the hash, or None for the
+        origin.
+        """
         if entry.source in self.warm or entry.source in self.parents:
             return entry.source
         key = hash_key(entry.name[1], entry.name[2])
--- a/hookrouter/decisions/warming/lender.py
+++ b/hookrouter/decisions/warming/lender.py
@@ -1,20 +1,26 @@
-"""A neighbour's side: it lends its list now and then, and keeps the courses of those it lent to."""
+"""The lending side: provides this router's popularity list and stores the plans of other owners."""
 
 from . import lists
 
 MAX_PLANS = 64  # of caches warmed lately
-REBUILD_INTERVAL = 10_000  # 1 s: a list is made anew no oftener, whoever asks
-MAX_LENT_PER_SECOND = 8  # lists lent: some 100 kB each, a stated part of its time
+REBUILD_INTERVAL = 10_000  # 1 s: the least age at which a list is built again
+MAX_LENT_PER_SECOND = 8  # lists of some 100 kB each, which bounds the time spent on them
 
 
 class Lender:
+    """Lends popularity lists, each built at most once a second, and stores plans for successors of their
+    owners.
+    """
+
     def __init__(self, sketch, position, now=0):
-        """now: since when it is counted. position(): (epoch, number) of the newest purge told."""
+        """now: the start of counting. position(): returns (epoch, number) of the newest purge known here."""
         self.sketch, self.position, self.plans = sketch, position, {}
         self.cached_list, self.counted_since, self.second, self.lent_this_second = None, now, -1, 0
 
     def lend(self, now, cache):
-        """(Lent or None where it has lent enough this second, the Course kept for that cache or None)."""
+        """Returns (a PopularityList, or None beyond the limit of this second; the WarmupPlan stored for that
+        cache, or None).
+        """
         if now // 10_000 != self.second:
             self.second, self.lent_this_second = now // 10_000, 0
         if self.lent_this_second >= MAX_LENT_PER_SECOND:
@@ -25,7 +31,7 @@
             or now - self.cached_list[0] >= REBUILD_INTERVAL
             or self.cached_list[1] != self.position()
         ):
-            # A list of before a purge says so by its number; one made anew is of more use.
+            # A list from before a purge is marked by its position, but a new one is of more use.
             self.cached_list = now, self.position(), self.sketch.lower_bounds()
         built_at, position, summary = self.cached_list
         return lists.make_list(
@@ -33,7 +39,7 @@
         ), self.plans.get(cache)
 
     def store_plan(self, plan):
-        """Kept for a successor; an old owner's does not take a newer one's place."""
+        """Stores a plan for a successor of its owner; returns False where a newer owner's plan is stored."""
         previous = self.plans.get(plan.cache)
         if previous is not None and previous.number > plan.number:
             return False
@@ -44,5 +50,5 @@
         return True
 
     def halved(self, now):
-        """The sketch has been halved: what is left is of half as long."""
+        """Halves the time that counts are taken over, as the sketch was halved."""
         self.counted_since += (now - self.counted_since) // 2
--- a/hookrouter/decisions/warming/lists.py
+++ b/hookrouter/decisions/warming/lists.py
@@ -1,8 +1,9 @@
-"""Lists lent by neighbours: dated, bounded, under a purge's number; a liar's moves its share at most.
+"""Popularity lists borrowed from neighbours: dated, bounded, and marked with the newest purge they take
+account of.
 
-One list a lender, the newest; the sum over lenders is made from that table, in the order of their names. So
-it is the same whatever came first, and twice is once. A lender's total counts for no more than the median of
-all: of L lenders one cannot bring more than 2/L of all weight, whatever it says.
+One list per lender counts, the newest. The sum is made from the table in the order of the lenders' names, so
+it does not depend on the order of arrival, and a duplicate changes nothing. A lender's total is capped at the
+median of all, so that of L lenders a false one contributes at most 2/L of the whole weight.
 """
 
 from math import inf
@@ -15,12 +16,13 @@
 
 MAX_BYTES = 400_000  # of one list
 MAX_LENDERS = 32
-MAX_AGE = 600_000  # 1 min: what is older tells of another time of the day
-MAX_WEIGHT_FACTOR = 2.0  # over the number of lenders: the most that one can bring of all weight
+MAX_AGE = 600_000  # 1 min: an older list describes other demand
+# divided by the number of lenders: the largest part of the whole weight that one can contribute
+MAX_WEIGHT_FACTOR = 2.0
 
 
 def make_list(summary, age, position, span):
-    """A Lent of this router's Summary: the heaviest rows first, ties by name."""
+    """Makes a PopularityList of this router's Summary: the heaviest rows first, ties by name."""
     rows = sorted(summary.rows.items(), key=lambda item: (-item[1][0], item[0]))[: messages.MAX_ROWS]
     return messages.PopularityList(
         age,
@@ -42,35 +44,37 @@
 
 
 def read(data):
-    """A Lent from bytes; UnusableList where it is none, or claims more than its own total."""
+    """Decodes a PopularityList; raises UnusableList where it is malformed or fails validate()."""
     if len(data) > MAX_BYTES:
-        raise UnusableList(f"a list of {len(data)} bytes, {MAX_BYTES} are the most")
+        raise UnusableList(f"a list of {len(data)} bytes exceeds the limit of {MAX_BYTES}")
     try:
         popularity = msgspec.msgpack.decode(data, type=messages.PopularityList)
     except msgspec.DecodeError as error:
-        raise UnusableList(f"a list cannot be read: {error}") from None
+        raise UnusableList(f"a list cannot be decoded: {error}") from None
     return validate(popularity)
 
 
 def validate(popularity):
-    """The list, or UnusableList where it contradicts itself or is too old to be of use."""
+    """Returns the list; raises UnusableList where it contradicts itself or is too old."""
     if popularity.age > MAX_AGE:
         raise UnusableList("a list is older than a minute")
     if len({row.name for row in popularity.rows}) != len(popularity.rows):
-        raise UnusableList("a list names something twice")
+        raise UnusableList("a list contains a name twice")
     if sum(row.weight for row in popularity.rows) > popularity.total:
-        raise UnusableList("a list claims more than was asked for in all")
+        raise UnusableList("the weights of a list exceed its total")
     return popularity
 
 
 class BorrowedLists:
-    """The table of lists. A later list of the same lender takes the place of the earlier."""
+    """The borrowed lists; a newer list of a lender replaces the older one."""
 
     def __init__(self):
-        self.lists = {}  # lender -> Lent
+        self.lists = {}  # lender -> PopularityList
 
     def add(self, lender, popularity):
-        """Whether it was taken: no more than so many lenders, the newest list of each."""
+        """Adds a list unless a newer one of the lender is known; returns False where there are too many
+        lenders.
+        """
         previous = self.lists.get(lender)
         if previous is None and len(self.lists) >= MAX_LENDERS:
             return False
@@ -83,14 +87,15 @@
         return True
 
     def max_share(self):
-        """Of all weight, the most that one lender can bring."""
+        """Returns the largest part of the whole weight that one lender can contribute."""
         return min(1.0, MAX_WEIGHT_FACTOR / max(1, len(self.lists)))
 
     def total_cap(self):
+        """Returns the cap of a lender's total, the median over all lenders."""
         return median(popularity.total for popularity in self.lists.values()) if self.lists else 0
 
     def combined(self):
-        """{name: Wanted}: weights a unit of time, each lender's capped, and who brings how much of it."""
+        """Returns {name: PopularName} with rates summed over all lenders, each lender's total capped."""
         limit, combined_names = self.total_cap(), {}
         for lender in sorted(self.lists):
             popularity = self.lists[lender]
@@ -109,15 +114,18 @@
 
 
 class PopularName:
-    """A name that was asked for, by all lists together."""
+    """The demand for one name by all lists together. rate: lookups a unit of time;
+    rate_by_lender: its parts.
+    """
 
     __slots__ = ("name", "group", "rate", "rate_by_lender", "sizes", "purge")
 
     def __init__(self, name, group):
         self.name, self.group, self.rate, self.rate_by_lender, self.sizes = name, group, 0.0, {}, []
-        self.purge = inf, 0  # the oldest list's: what was purged since that is purged, whoever else says less
+        self.purge = inf, 0  # of the oldest list: a purge that one list does not take account of counts
 
     def add(self, lender, row, rate, purge):
+        """Adds a lender's row."""
         self.rate += rate
         self.rate_by_lender[lender] = rate
         self.purge = min(self.purge, purge)
@@ -126,5 +134,5 @@
 
     @property
     def size(self):
-        """The middle one of those told: one lender of three cannot move it."""
+        """The median of the known sizes: one false lender of three cannot move it."""
         return median(self.sizes) if self.sizes else 0
--- a/hookrouter/decisions/warming/messages.py
+++ b/hookrouter/decisions/warming/messages.py
@@ -1,7 +1,7 @@
-"""The words of warming: what is lent on the wire, what the owner of a warming is told, what it wants done.
+"""Popularity lists and plans as they go on the wire, and the events and effects of a warming.
 
-Times are whole tenths of a millisecond; on the wire stand ages only. Sizes are bytes, weights whole
-thousandths of a lookup. Bounds stand in the types.
+Times are whole tenths of a millisecond; only ages go on the wire. Sizes are bytes, weights are whole
+thousandths of a lookup. The types state the bounds.
 """
 
 from typing import Annotated, NamedTuple
@@ -11,9 +11,9 @@
 MAX_ROWS = 4_096  # names in one list: some 200 kB, pulled in pieces
 MAX_STEPS = 256  # of one plan
 MAX_NAMES_IN_STEP = 64
-MAX_SIZE = 1 << 32  # bytes of one object's part
+MAX_SIZE = 1 << 32  # bytes of one part of an object
 MAX_WHOLE = 1 << 53
-WEIGHT_SCALE = 1_000  # of a lookup, the unit of weights on the wire
+WEIGHT_SCALE = 1_000  # units of weight per lookup, on the wire
 
 Whole = Annotated[int, msgspec.Meta(ge=0, le=MAX_WHOLE)]
 Text = Annotated[str, msgspec.Meta(min_length=1, max_length=256)]
@@ -21,7 +21,7 @@
 
 
 class Row(msgspec.Struct, array_like=True, frozen=True):
-    """One name that was asked for, and how much for certain: never more than it was."""
+    """One name with a lower bound on its lookups."""
 
     kind: Text
     object: Text
@@ -32,22 +32,23 @@
 
     @property
     def name(self):
+        """The name as a tuple of kind, object and part."""
         return self.kind, self.object, self.part
 
 
 class PopularityList(msgspec.Struct, array_like=True, frozen=True):
-    """A list as its lender has it now. epoch, purge: the newest purge it had been told when this was made."""
+    """A lender's list. epoch, purge: the newest purge that the lender knew when the list was made."""
 
     age: Whole
     epoch: Whole
     purge: Whole
-    total: Whole  # all that was asked for, named here or not
-    span: Whole  # over so much time, what was forgotten by halves counted for what is left of it
+    total: Whole  # all lookups, of names listed here or not
+    span: Whole  # the time of the lookups; halved together with the counts
     rows: Annotated[list[Row], msgspec.Meta(max_length=MAX_ROWS)]
 
 
 class WarmupPlan(msgspec.Struct, array_like=True, frozen=True):
-    """What the owner of that number is about to do, step by step, for whoever comes after it."""
+    """The steps of names that the owner with this number is going to fill, for its successors."""
 
     cache: Text
     number: Whole
@@ -57,11 +58,13 @@
     ]
 
 
-# ---- what a warming is told
+# ---- events
 
 
 class Owned(NamedTuple):
-    """The duty is this router's. done: steps known to be done; lenders: whom to ask, zone first."""
+    """This router owns the duty. done: steps known to be done; lenders: whom to ask, those of
+    the zone first.
+    """
 
     number: int
     done: int
@@ -69,42 +72,44 @@
 
 
 class ListReceived(NamedTuple):
+    """A lender has answered, or did not in time."""
+
     lender: str
-    popularity: PopularityList | None  # None: it did not answer in time
+    popularity: PopularityList | None  # None: no answer in time
     plan: WarmupPlan | None = None
 
 
 class PlanStored(NamedTuple):
-    """That lender keeps the course now."""
+    """The lender has stored the plan."""
 
     lender: str
 
 
 class Tick(NamedTuple):
-    """Time has passed, or room came up."""
+    """Time has passed, or a fill may have become possible."""
 
 
 class FillEnded(NamedTuple):
-    """A fill's end: one of the words below."""
+    """A fill has ended, with one of the results below."""
 
     name: tuple
     end: str
 
 
 class Reported(NamedTuple):
-    """The keepers have that step as done."""
+    """The replicas of the duty log have recorded this step as done."""
 
     step: int
 
 
 class OverloadChanged(NamedTuple):
-    """Whether lookups or a source suffer."""
+    """Lookups or a source have become overloaded, or have recovered."""
 
     overloaded: bool
 
 
 class Aborted(NamedTuple):
-    """No use going on: cause is one of CAUSES."""
+    """The warming cannot go on; cause is one of CAUSES."""
 
     cause: str
 
@@ -121,15 +126,19 @@
 CAUSES = (CACHE_LEFT, DRAINED, CACHE_FAILED, PURGED_ALL, LEASE_OVER, HELD_TOO_LONG, OLD_NUMBER)
 
 
-# ---- what it wants done
+# ---- effects
 
 
 class Borrow(NamedTuple):
+    """Asks a lender for its list."""
+
     lender: str
 
 
 class Fill(NamedTuple):
-    """One fill. number: the fence at the cache; source None: the cache's own way, to the origin."""
+    """Sends one fill. number: the fencing token at the cache; source None: the cache's own way, to the
+    origin.
+    """
 
     name: tuple
     group: int
@@ -139,21 +148,21 @@
 
 
 class Report(NamedTuple):
-    """That step is done, to be told to the keepers under that number."""
+    """Reports a step as done, under the owner's number."""
 
     number: int
     step: int
 
 
 class Store(NamedTuple):
-    """The course, to be kept by those who lent."""
+    """Sends the plan to the lenders, which store it."""
 
     plan: WarmupPlan
     lenders: tuple
 
 
 class Closed(NamedTuple):
-    """It has ended: done, or given up for that cause."""
+    """The warming has ended: done, or given up for this cause."""
 
     state: str
     cause: str
--- a/hookrouter/decisions/warming/planning.py
+++ b/hookrouter/decisions/warming/planning.py
@@ -1,8 +1,9 @@
-"""What one cache is to be filled with, in which order and from where.
+"""Plans the fills of one cache: which names, in which order and from which source.
 
-Greedy by density (Dantzig, 1957): worth gained for each unit of what is scarce. Worth is lookups satisfied
-here a second, times what a hit is worth; the scarce thing is the dearest of the target's cold room, the
-source's room and the link. Steps are of so many names each, so progress can be told by their number.
+Greedy by density (Dantzig, 1957): the gain per unit of the scarce resource. The gain is the number of lookups
+satisfied at the cache, times the value of a hit; the scarce resource is the most expensive of the target's
+cold capacity, the source's capacity and the link. Steps contain a fixed number of names, so that progress can
+be told by a step's number.
 """
 
 from typing import NamedTuple
@@ -11,47 +12,51 @@
 from .rank import hash_key, rank
 from .residence_time import residence_time
 
-STEP_SIZE = 16  # names: what a successor may repeat
-HORIZON = 300_000  # 30 s: lookups so far ahead count; a copy that is not asked for by then may wait
-MIN_LOOKUPS = 0.5  # within the horizon or the copy's freshness: below it most fills are for nothing
-# of a name's lookups come to its second candidate: the router's lead is two to one
-SECOND_CANDIDATE_SHARE = 0.1
-# the same where it comes from a parent: that may have to ask the origin, sooner than needed
+STEP_SIZE = 16  # names, which a successor may fill twice at most
+HORIZON = 300_000  # 30 s: lookups up to then count; a copy needed later can be filled later
+MIN_LOOKUPS = 0.5  # within the horizon or the copy's freshness: with fewer, most fills are useless
+# part of a name's lookups that its second candidate gets, as a router's lead is up to two to one
+SECOND_SHARE = 0.1
+# The same for a fill from a parent, which may have to ask the origin sooner than necessary.
 MIN_LOOKUPS_VIA_PARENT = 3.0
-# bytes: what is larger must be asked for in proportion, or it shuts out a hundred others
+# Bytes. A larger object needs proportionally more lookups, since it displaces a hundred others.
 LARGE_SIZE = 1_000_000
-FIXED_COST = 20_000  # bytes: what a fill costs beside its size
-MIN_SIZE_RATIO = 0.25  # of the mean size: a name said to be tiny is not let past all others
+FIXED_COST = 20_000  # bytes: the cost of a fill besides its size
+# of the mean size, so that a name with a falsely small size does not precede all others
+MIN_SIZE_RATIO = 0.25
 MAX_NAMES = 4_096
 
 
 class Kind(NamedTuple):
-    """repeatable: a fill of it does nothing but fill."""
+    """What the planner has to know of an object kind. repeatable: a fill has no side effect."""
 
     repeatable: bool
-    candidates: int  # caches that keep a name of it
+    candidates: int  # caches that keep a name of this kind
     fresh_duration: int  # tenths of a millisecond, 0: until purged
     utility: float
 
 
 class LocationState(NamedTuple):
-    """The location as it is: ids. before: its caches without the change that makes target's warming needed;
-    after: with it. A cache that starts is only in after; an heir is in both, who leaves is in before only.
+    """The caches of the location, by id. before: without the change that calls for the warming of target;
+    after: with it. A cache that starts is in after only, one that takes over names in both, one that leaves
+    in before only.
     """
 
     target: str
     before: tuple
     after: tuple
-    warm: frozenset  # caches that may be sources: ready, not cold, not draining, not being warmed
+    warm: frozenset  # possible sources: ready, neither cold nor draining nor being warmed
     parents: tuple  # ready and not cold
     kinds: dict  # name -> Kind
-    siblings: bool = True  # whether the platform lets a cache fill from one of its location
-    past: tuple = ()  # the location's caches half a minute ago, where not as before: who has copies by now
-    room: int = 0  # bytes that the target keeps, 0 where not told
-    prices: tuple = (1.0, 1.0, 1.0)  # of cold room, source's room, link: the dearest decides
+    siblings: bool = True  # whether the platform lets a cache fill from another one of its location
+    past: tuple = ()  # the caches half a minute ago, where not as before: these have the copies by now
+    room: int = 0  # capacity of the target in bytes, 0 where unknown
+    prices: tuple = (1.0, 1.0, 1.0)  # of cold capacity, source capacity and link: the highest cost decides
 
 
 class PlanEntry(NamedTuple):
+    """A planned fill; purge: the (epoch, number) up to which purges are taken account of."""
+
     name: tuple
     group: int
     size: int
@@ -61,25 +66,26 @@
 
 
 def make_plan(location, borrowed, purged, already=frozenset(), max_names=MAX_NAMES):
-    """Entries in order. already: names that a former owner is known to have done."""
+    """Returns the entries of the plan in order. already: names that a former owner is known to
+    have filled.
+    """
     wanted = borrowed.combined()
     sizes = [popular.size for popular in wanted.values() if popular.size]
     floor = MIN_SIZE_RATIO * sum(sizes) / len(sizes) if sizes else 0.0
-    candidates_kept = [
+    kept = [
         (popular, share, max(popular.size, floor))
         for popular in wanted.values()
         if (share := lookup_share(location, popular.name))
     ]
     horizon = HORIZON
-    if location.room:  # a copy that is asked for less often than it stays only shuts out others
+    # a copy with a longer interval between lookups than its residence time only displaces others
+    if location.room:
         horizon = min(
             HORIZON,
-            residence_time(
-                [(popular.rate * share, size) for popular, share, size in candidates_kept], location.room
-            ),
+            residence_time([(popular.rate * share, size) for popular, share, size in kept], location.room),
         )
-    purged_names, rows = purged.purged_among([popular for popular, _, _ in candidates_kept]), []
-    for popular, share, size in candidates_kept:
+    purged_names, rows = purged.purged_among([popular for popular, _, _ in kept]), []
+    for popular, share, size in kept:
         kind, name = location.kinds[popular.name[0]], popular.name
         if name in purged_names or name in already or not newly_kept(location, name, kind.candidates):
             continue
@@ -104,24 +110,18 @@
 
 
 def lookup_share(location, name):
-    """The part of a name's lookups that come to the target: most of them as its top candidate, few as the
-    second, none as neither, or of a kind that may not be repeated.
+    """Returns the part of a name's lookups that reach the target: most as its top candidate, few as its
+    second, and none otherwise or for a kind that is not repeatable.
     """
     kind = location.kinds.get(name[0])
     if kind is None or not kind.repeatable:
         return 0.0
     chosen = rank(hash_key(name[1], name[2]), location.after)[: kind.candidates]
-    return (
-        0.0
-        if location.target not in chosen
-        else 1.0
-        if chosen[0] == location.target
-        else SECOND_CANDIDATE_SHARE
-    )
+    return 0.0 if location.target not in chosen else 1.0 if chosen[0] == location.target else SECOND_SHARE
 
 
 def newly_kept(location, name, candidates):
-    """Whether the target keeps that name now, and did not before or as the second only."""
+    """Returns whether the target keeps the name now and did not before, or only as its second candidate."""
     key = hash_key(name[1], name[2])
     after, before = rank(key, location.after)[:candidates], rank(key, location.before)[:candidates]
     return location.target in after and (
@@ -130,9 +130,10 @@
 
 
 def best_source(location, name):
-    """The neighbour that was its top candidate, the parent that tops the same hash, None: the origin's way.
+    """Returns the neighbour that was the name's top candidate, else the parent that is top by the same hash,
+    or None for the origin.
 
-    Its second candidate has it too seldom to be asked: a copy there is made only where the top was busy.
+    The second candidate is not asked: it has a copy only where the top one was busy.
     """
     key = hash_key(name[1], name[2])
     if location.siblings:
@@ -143,8 +144,9 @@
 
 
 def within_lender_shares(rows, lenders, max_names):
-    """What one lender alone asks for may cost as much as the others' part of what several ask for: so of L
-    lenders one that lies fills at most 1/L of the plan with what nobody wants, and one step beside.
+    """Returns the entries, limiting those that only one lender asks for to the cost of the others' part of
+    what several ask for. So of L lenders a false one fills at most 1/L of the plan, and one step more, with
+    useless names.
     """
     shared = sum(cost for _, cost, popular in rows if len(popular.rate_by_lender) > 1)
     mean = sum(cost for _, cost, _ in rows) / max(1, len(rows))
@@ -162,4 +164,5 @@
 
 
 def in_steps(entries, size=STEP_SIZE):
+    """Splits the entries into steps."""
     return [entries[k : k + size] for k in range(0, len(entries), size)][: messages.MAX_STEPS]
--- a/hookrouter/decisions/warming/recent_purges.py
+++ b/hookrouter/decisions/warming/recent_purges.py
@@ -1,25 +1,26 @@
-"""Purges between list and fill: by their numbers, never by a clock, the purge wins."""
+"""The recent purges, which are applied between list and fill: by their numbers and never by a clock."""
 
 from collections import deque
 
 from ...purges import types
 from ...purges.patterns import Patterns
 
-MAX_PURGES = 20_000  # purges, a minute's burst; a list from before them is of no use
+MAX_PURGES = 20_000  # as many as come in a minute's burst; an older list is useless
 
 
 def unknown_tags(object):
-    """Tags of an object of which nothing is known."""
+    """Stands for the tags of an object where nothing is known: returns None."""
 
 
 class RecentPurges:
-    """The newest purges this router was told, in order. tags: object -> its tags, or None for not known."""
+    """The newest purges known to this router, in order. tags: object -> its tags, or None where unknown."""
 
-    def __init__(self, tags=None, most=MAX_PURGES):
-        self.rows, self.newest, self.known_after = deque(maxlen=most), (0, 0), (0, 0)
+    def __init__(self, tags=None, capacity=MAX_PURGES):
+        self.rows, self.newest, self.known_after = deque(maxlen=capacity), (0, 0), (0, 0)
         self.tags = tags or unknown_tags
 
     def add(self, purge):
+        """Adds a purge; one that is not newer than the last is ignored."""
         if (purge.epoch, purge.n) <= self.newest:
             return
         if len(self.rows) == self.rows.maxlen:
@@ -28,12 +29,12 @@
         self.newest = purge.epoch, purge.n
 
     def restart(self, position):
-        """A snapshot took the place of what was heard one by one."""
+        """Forgets the single purges, after a snapshot up to this position."""
         self.rows.clear()
         self.newest = self.known_after = position
 
     def since(self, position):
-        """The purges behind it, or None where these are not all known any more."""
+        """Returns the purges after the position, or None where some of them are not known any more."""
         if position < self.known_after:
             return None
         found = []
@@ -44,8 +45,8 @@
         return found
 
     def matcher(self, purge):
-        """Whether a purge is about (name, group), as a function of these. Of a tag, where the object's tags
-        are not known: no, for the fill goes with the guard's age limit, which no older copy passes.
+        """Returns a function (name, group) -> whether the purge applies to it. A tag does not apply where the
+        object's tags are unknown: the fill carries the age limit of the guard, which no older copy meets.
         """
         subject = purge.what
         if purge.kind == types.OBJECT:
@@ -56,16 +57,16 @@
             return lambda name, group: subject in (self.tags(name[1]) or ())
         known = Patterns(1)
         if not known.raise_to(purge.kind, subject, 1, 0, 0):
-            return lambda name, group: True  # it may be about anything
+            return lambda name, group: True  # it may apply to anything
         return lambda name, group: known.bound(f"{name[0]}/{name[1]}") is not None
 
     def purged_among(self, wanted, since=(0, 0)):
-        """Names among these (Wanted or Entry) purged since the oldest list that has them. since: they were
-        looked at then.
+        """Returns the names among these (PopularName or PlanEntry) purged since their oldest list. since: the
+        position up to which they were checked before.
         """
         if not wanted:
             return set()
-        # Of a list from before what is kept one by one nothing is known: all of it counts as purged.
+        # For a list from before the known purges nothing can be ruled out: all of its names count as purged.
         found = {entry.name for entry in wanted if entry.purge < self.known_after}
         remaining = [entry for entry in wanted if entry.purge >= self.known_after]
         for purge in (
--- a/hookrouter/decisions/warming/residence_time.py
+++ b/hookrouter/decisions/warming/residence_time.py
@@ -1,14 +1,14 @@
-"""How long a copy stays in a cache that drops the longest unasked for (Che, Tung and Wang, 2002)."""
+"""The residence time of a copy in an LRU cache, by the approximation of Che, Tung and Wang (2002)."""
 
 from math import exp
 
-BISECTION_STEPS = 40  # halvings of the stretch in which it lies: to one in a million
+BISECTION_STEPS = 40  # halvings of the interval: to one part in a million
 MAX_TIME = 36_000_000  # 1 h
 
 
 def residence_time(rows, room):
-    """The time after which a copy not asked for is gone. rows: (lookups a unit of time, size) of all that is
-    asked there; room: of the cache, in the same unit as the sizes. LONGEST where all of it finds room.
+    """Returns the time after which a copy without lookups is evicted. rows: (lookups a unit of time, size) of
+    all names; room: capacity of the cache, in the unit of the sizes. Returns MAX_TIME where everything fits.
     """
 
     def filled(span):
--- a/hookrouter/decisions/warming/sketch.py
+++ b/hookrouter/decisions/warming/sketch.py
@@ -1,39 +1,44 @@
-"""What was asked for here, in bounded room: Space-Saving (Metwally and others, 2005) that forgets.
+"""A popularity sketch of lookups in bounded memory: Space-Saving (Metwally and others, 2005) with decay.
 
-Of n lookups and k rows no count is off by more than n/k; what was asked for more than n/k times is in.
-Halving all rows halves n, so the bound goes on to hold of what is left. Lists are made in Misra and Gries'
-form (1982), the same rows less the least of them: such merge with the bound kept (Agarwal and others,
-"Mergeable Summaries", 2012, theorem 2.2), and never say more than was asked.
+Of n lookups and k rows no count is off by more than n/k, and each name with more than n/k lookups is in.
+Halving all rows halves n, so the bound holds for the rest. Summaries have the form of Misra and Gries (1982),
+which are the rows less the smallest count. They merge without losing the bound (Agarwal and others,
+"Mergeable Summaries", 2012, theorem 2.2) and never overstate a count.
 """
 
 from heapq import heapify, heappush, heapreplace
 from typing import NamedTuple
 
-DEFAULT_CAPACITY = 4_097  # rows: lists of 4,096, some 2 MB
-HALVING_INTERVAL = 300_000  # 30 s: what was popular two minutes ago counts a sixteenth
+DEFAULT_CAPACITY = 4_097  # rows, for lists of 4,096; some 2 MB
+HALVING_INTERVAL = 300_000  # 30 s: lookups of two minutes ago count a sixteenth
 
 
 class Summary(NamedTuple):
-    """total: all that was asked; rows: {name: (at least so much, size, group)}; k: rows at most."""
+    """A mergeable summary. total: all lookups; rows: {name: (lower bound of its lookups, size, group)};
+    capacity: the largest number of rows.
+    """
 
     total: float
     rows: dict
     capacity: int
 
     def slack(self):
-        """By so much at most each row, and each name that is not in, was asked for more."""
+        """Returns the most by which the lookups of any name, listed or not, exceed its lower bound."""
         return (self.total - sum(row[0] for row in self.rows.values())) / (self.capacity + 1)
 
 
 class Sketch:
-    """asked() is on each lookup's path: one look-up in a table for names that are in."""
+    """Counts lookups by name. record() is called on the path of each lookup: one table lookup for a known
+    name.
+    """
 
     def __init__(self, capacity=DEFAULT_CAPACITY):
         self.capacity, self.total, self.insertions = capacity, 0.0, 0
-        self.rows = {}  # name -> [count, size, group, what of the count may be others']
-        self.heap = []  # (count when it was looked at last, order of entry, name): counts there lag behind
+        self.rows = {}  # name -> [count, size, group, part of the count that may belong to other names]
+        self.heap = []  # (count when last updated, order of insertion, name); counts in it lag behind
 
     def record(self, name, size, group=0):
+        """Counts a lookup of a name; size is in bytes, or 0 where unknown."""
         self.total += 1
         row = self.rows.get(name)
         if row is not None:
@@ -44,7 +49,7 @@
         self._enter(name, size, group)
 
     def _enter(self, name, size, group):
-        """In place of the least asked for, whose count it takes over: that is the error."""
+        """Replaces the name with the smallest count and takes over that count as the error."""
         self.insertions += 1
         if len(self.rows) < self.capacity:
             self.rows[name] = [1.0, size, group, 0.0]
@@ -52,7 +57,7 @@
             return
         heap = self.heap
         count, order, victim = heap[0]
-        while self.rows[victim][0] != count:  # it was asked for since: to its place
+        while self.rows[victim][0] != count:  # it was looked up since: move it to its place
             heapreplace(heap, (self.rows[victim][0], order, victim))
             count, order, victim = heap[0]
         del self.rows[victim]
@@ -60,7 +65,7 @@
         heapreplace(heap, (count + 1, self.insertions, name))
 
     def halve(self):
-        """Forgets by half; the executor's clock says when."""
+        """Halves all counts; the executor calls it every HALVING_INTERVAL."""
         self.total /= 2
         for row in self.rows.values():
             row[0] /= 2
@@ -69,10 +74,11 @@
         heapify(self.heap)
 
     def min_count(self):
+        """Returns the smallest count, or 0 while there are free rows."""
         return min(row[0] for row in self.rows.values()) if len(self.rows) == self.capacity else 0.0
 
     def summary(self):
-        """The rows less the least, as a Summary of one row fewer."""
+        """Returns the rows less the smallest count, as a Summary of one row fewer."""
         min_count = self.min_count()
         return Summary(
             self.total,
@@ -85,7 +91,9 @@
         )
 
     def lower_bounds(self):
-        """As a Summary to lend: each row less its own error, which is tighter, and does not merge further."""
+        """Returns a Summary to lend, with each row less its own error: tighter than summary(), but not
+        mergeable.
+        """
         return Summary(
             self.total,
             {
@@ -98,7 +106,7 @@
 
 
 def merge(first, second):
-    """Both as one Summary of the smaller's rows: either way round the same."""
+    """Merges two summaries into one of the smaller capacity; the order does not matter."""
     capacity = min(first.capacity, second.capacity)
     rows = dict(first.rows)
     for name, (count, size, group) in second.rows.items():
--- a/hookrouter/decisions/warming/steps.py
+++ b/hookrouter/decisions/warming/steps.py
@@ -1,8 +1,8 @@
-"""The duty warm/CACHE as its owner works it: a table of state, input -> next state, effect.
+"""The state machine of a warming, the duty warm/CACHE, as its owner carries it out.
 
-What is done is told by steps. A successor that has the former owner's course (kept by those who lent)
-leaves out the steps that are done, so at most one step's names come twice. That course is only ever a ground
-to leave out: a false one warms less, and fills nothing that is not wanted.
+Progress is recorded by steps. A successor that gets the former owner's plan, which the lenders store, leaves
+out the steps that are done, so at most one step is filled twice. The plan is only used to leave out names: a
+false one warms less, and fills nothing that is not wanted.
 """
 
 from collections import Counter
@@ -19,7 +19,7 @@
     "done",
     "given up",
 )
-OWNED, LIST_ARRIVED, ENOUGH, PLAN_KEPT, EMPTY, PROCEED, ENDED, OVERLOADED, RECOVERED, FINISHED, ABORTED = (
+OWNED, LIST_ARRIVED, ENOUGH, PLAN_STORED, EMPTY, PROCEED, ENDED, OVERLOADED, RECOVERED, FINISHED, ABORTED = (
     "owned",
     "came",
     "enough",
@@ -33,15 +33,17 @@
     "void",
 )
 
-BORROW_TIMEOUT = 5_000  # 0.5 s: who has not lent by then is not waited for
-MAX_CONSECUTIVE_FAILURES = 8  # fills: it has fallen, or what feeds it has
-MAX_HOLD = 300_000  # 30 s: what suffers that long will not be helped by waiting, and lookups have warmed it
-MAX_LENDERS = 5  # asked at once: their time is theirs
+BORROW_TIMEOUT = 5_000  # 0.5 s: a lender that has not answered by then is not waited for
+MAX_CONSECUTIVE_FAILURES = 8  # fills: the cache is down, or its sources are
+# 30 s: an overload that lasts longer does not end by waiting, and lookups have warmed the cache meanwhile
+MAX_HOLD = 300_000
+MAX_LENDERS = 5  # asked at once, since lending costs them time
 
 
 class Terms(NamedTuple):
-    """scene(): the location now; purged: what this router was told; may(entry, out): the source of a fill
-    that may go now (None: the origin), or False. out: {name: Entry} of the fills that are out.
+    """location(): returns the LocationState; purged: RecentPurges; source_for(entry, in_flight): the source
+    of a fill that may be sent now (None: the origin), or False. in_flight: {name: PlanEntry} of the fills in
+    flight.
     """
 
     cache: str
@@ -55,25 +57,28 @@
 
 
 class Warming:
-    """take(now, event) hands back the effects; none but under its number, and none after its end."""
+    """One warming. handle(now, event) returns effects, only for the current owner's number and none after the
+    end.
+    """
 
     def __init__(self, terms, borrowed):
         self.terms, self.borrowed, self.state = terms, borrowed, NOTED
         self.number = self.done = 0
         self.awaited_peers, self.former_plans, self.deadline, self.peers = set(), [], 0, ()
-        # the step that is worked, the next name in it
+        # the current step and the next name in it
         self.steps, self.step_index, self.name_index = [], 0, 0
         self.in_flight, self.purged_names, self.counts = {}, set(), Counter()
         self.now, self.effects, self.cause = 0, [], ""
-        self.purges_checked, self.consecutive_failures, self.held_since = (0, 0), 0, 0
-        self.recorded_steps = 0  # steps that the keepers have as done
+        self.checked, self.failures_in_a_row, self.held_since = (0, 0), 0, 0
+        self.recorded = 0  # steps recorded as done
 
     def handle(self, now, event):
+        """Handles an event and returns the effects."""
         self.now, self.effects = now, []
         self.events[type(event)](self, event)
         return self.effects
 
-    # ---- events, as inputs of the table
+    # ---- events, as triggers of the table
 
     def _owned(self, event):
         self.number, self.done = event.number, event.done
@@ -91,12 +96,12 @@
         self._step(LIST_ARRIVED)
 
     def _reported(self, event):
-        self.recorded_steps = max(self.recorded_steps, event.step)
+        self.recorded = max(self.recorded, event.step)
         self._step(PROCEED)
 
     def _plan_stored(self, event):
         if event.lender in self.peers:
-            self._step(PLAN_KEPT)
+            self._step(PLAN_STORED)
 
     def _ticked(self, event):
         if self.state == BORROWING and self.now >= self.deadline:
@@ -115,16 +120,16 @@
 
     def _fill_ended(self, event):
         if self.in_flight.pop(event.name, None) is None:
-            return  # doubled, or of another time
+            return  # duplicate, or of an earlier warming
         self.counts[event.end] += 1
-        self.consecutive_failures = self.consecutive_failures + 1 if event.end == messages.FAILED else 0
-        if event.end == messages.OLD_NUMBER or self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES:
+        self.failures_in_a_row = self.failures_in_a_row + 1 if event.end == messages.FAILED else 0
+        if event.end == messages.OLD_NUMBER or self.failures_in_a_row >= MAX_CONSECUTIVE_FAILURES:
             self.cause = messages.OLD_NUMBER if event.end == messages.OLD_NUMBER else messages.CACHE_FAILED
             self._step(ABORTED)
         else:
             self._step(ENDED)
 
-    # ---- the table's loop and effects; an effect may hand back a further input
+    # ---- the loop over the table, and the effects, which may return a further trigger
 
     def _step(self, trigger):
         while trigger is not None:
@@ -143,7 +148,7 @@
         return None if self.awaited_peers else ENOUGH
 
     def _plan(self):
-        """Behind the steps that are done, as those say who kept the former owner's course."""
+        """Makes the plan, behind the steps that are done by the stored plan of the former owner."""
         former = self._former_steps()
         self.done = min(self.done, messages.MAX_STEPS)
         head = [list(step) for step in former[: self.done]]
@@ -154,12 +159,7 @@
             self.terms.location(), self.borrowed, purged, already, self.terms.max_names
         )
         self.steps = planning.in_steps(entries, self.terms.step_size)[: messages.MAX_STEPS - self.done]
-        self.step_index, self.name_index, self.purges_checked, self.recorded_steps = (
-            0,
-            0,
-            purged.newest,
-            self.done,
-        )
+        self.step_index, self.name_index, self.checked, self.recorded = 0, 0, purged.newest, self.done
         if not self.steps:
             return EMPTY
         plan = messages.WarmupPlan(
@@ -167,16 +167,18 @@
         )
         self.effects.append(messages.Store(plan, self.peers))
         self.deadline = self.now + self.terms.borrow_timeout
-        return None if self.peers else PLAN_KEPT
+        return None if self.peers else PLAN_STORED
 
     def _await_plan_stored(self):
-        """No fill before someone else keeps the course; where nobody answers, the cache's own word that it
-        holds a name already is what is left against repeats.
+        """Delays the first fill until a lender has stored the plan. Where none answers in time, only the
+        cache's own refusal of a name it holds already prevents repeated fills.
         """
-        return PLAN_KEPT if self.now >= self.deadline else None
+        return PLAN_STORED if self.now >= self.deadline else None
 
     def _former_steps(self):
-        """The steps of the newest owner's course before this; where two differ, of what more lenders keep."""
+        """Returns the steps of the newest former owner's plan; where copies differ, those that most lenders
+        store.
+        """
         plans = [plan for plan in self.former_plans if plan.number < self.number]
         if not plans:
             return []
@@ -187,10 +189,11 @@
         )
 
     def _fill(self):
-        """What may go now of the step that is worked. The next begins when all of this have ended, and the
-        keepers know: else a successor would repeat more than one.
+        """Sends the fills of the current step that are possible now. The next step starts when all fills of
+        this one have ended and its end is recorded, since a successor would otherwise repeat more than one
+        step.
         """
-        if self.recorded_steps < self.done:
+        if self.recorded < self.done:
             return None
         if not self._drop_purged():
             self.cause = messages.PURGED_ALL
@@ -203,18 +206,20 @@
             else:
                 source = self.terms.source_for(entry, self.in_flight)
                 if source is False:
-                    break  # no room now, at the target or at its source
+                    break  # no capacity now, at the target or at the source
                 self.in_flight[entry.name] = entry
                 self.effects.append(messages.Fill(entry.name, entry.group, entry.size, source, self.number))
             self.name_index += 1
         return self._finish_step()
 
     def _drop_purged(self):
-        """What was purged since the last look is not filled; False where that is not known any more."""
-        purged, since = self.terms.purged, self.purges_checked
+        """Drops the names purged since the last check; returns False where these purges are not known any
+        more.
+        """
+        purged, since = self.terms.purged, self.checked
         if purged.newest == since:
             return True
-        self.purges_checked = purged.newest
+        self.checked = purged.newest
         remaining = [entry for step in self.steps[self.step_index :] for entry in step]
         self.purged_names |= purged.purged_among(remaining, since)
         return purged.since(since) is not None
@@ -244,14 +249,14 @@
         return None
 
 
-# state, input -> next state, effect; what is not named changes nothing
+# (state, trigger) -> (next state, effect); other pairs change nothing
 TABLE = {
     (NOTED, OWNED): (BORROWING, Warming._borrow),
     (BORROWING, LIST_ARRIVED): (BORROWING, Warming._check_lists),
     (BORROWING, PROCEED): (BORROWING, Warming._check_lists),
     (BORROWING, ENOUGH): (PLANNED, Warming._plan),
     (PLANNED, EMPTY): (DONE, Warming._finish),
-    (PLANNED, PLAN_KEPT): (WARMING, Warming._fill),
+    (PLANNED, PLAN_STORED): (WARMING, Warming._fill),
     (PLANNED, PROCEED): (PLANNED, Warming._await_plan_stored),
     (WARMING, PROCEED): (WARMING, Warming._fill),
     (WARMING, ENDED): (WARMING, Warming._proceed),
--- a/tests/warming_mistakes.py
+++ b/tests/warming_mistakes.py
@@ -60,7 +60,7 @@
     """It goes on before the keepers know of the step before."""
 
     def _fill(self):
-        self.recorded_steps = self.done
+        self.recorded = self.done
         return super()._fill()
 
     table = {**steps.TABLE, (steps.WARMING, steps.PROCEED): (steps.WARMING, _fill)}
@@ -68,7 +68,7 @@
 
 class FillsBeforeCourseIsKept(warming.Warming):
     def _plan(self):
-        return super()._plan() or steps.PLAN_KEPT
+        return super()._plan() or steps.PLAN_STORED
 
     table = {**steps.TABLE, (steps.BORROWING, steps.ENOUGH): (steps.PLANNED, _plan)}
 
