--- a/tests/admission_mistakes.py
+++ b/tests/admission_mistakes.py
@@ -1,4 +1,4 @@
-"""Mistakes seeded on purpose into the decisions on admission: a check that finds none of them is no check."""
+"""Seeded mistakes in the decisions of admission: the checks must find each of them."""
 
 import msgspec
 
@@ -9,7 +9,7 @@
 
 
 class TwoForOneSlot(Gate):
-    """A slot is numbered by how many wait: two are given one number once somebody was admitted between."""
+    """Numbers a slot by its index: two followers get one number once one was admitted in between."""
 
     def _answer(self, now, row, over=False):
         row.number = self.queue.index(row.key)
@@ -17,7 +17,7 @@
 
 
 class FormerRefused(Gate):
-    """A ticket of a former life is refused, each time."""
+    """Refuses each ticket of a former incarnation."""
 
     def arrived(self, now, arrival):
         if arrival.ticket:
@@ -33,24 +33,28 @@
 
 
 class FormerAtEnd(Gate):
-    """A ticket of a former life gives no place."""
+    """Gives a ticket of a former incarnation no place."""
 
     def _read_ticket(self, arrival):
         super()._read_ticket(arrival)
 
 
 class TailByArrival(Gate):
-    """What is given was settled when it came; the order has moved on since."""
+    """Settles the kind of transfer at arrival, though the log has advanced since."""
 
     trusts_arrival = True
 
 
 class UrgentNotFirst(Gate):
+    """Does not move followers with an expiring lease ahead."""
+
     def _order_key(self, now, arrival, key):
         return key
 
 
 class UnsealedAccepted(Gate):
+    """Accepts tickets without checking the seal."""
+
     def _read_ticket(self, arrival):
         try:
             return (
@@ -63,14 +67,14 @@
 
 
 class SlotEachTime(Gate):
-    """Each connection is a flow of its own."""
+    """Takes each connection for a flow of its own."""
 
     def arrived(self, now, arrival):
         return super().arrived(now, arrival._replace(name=f"{arrival.name}/{arrival.conn}"))
 
 
 class BegunInVain(Gate):
-    """One whose lease is over before it has ended is begun all the same."""
+    """Starts an admission that ends after the follower's lease."""
 
     def _order_key(self, now, arrival, key):
         return key if arrival.lease_left <= 0 else (URGENT, now + arrival.lease_left, 0, key[3])
@@ -82,6 +86,8 @@
 
 
 class LateUnsaid(Gate):
+    """Never tells a follower that its lease will have expired."""
+
     def arrived(self, now, arrival):
         return [
             e._replace(late=False) if isinstance(e, messages.Defer) else e
@@ -93,14 +99,14 @@
 
 
 class HorizonBySetCost(Gate):
-    """The gap between slots is what somebody once set."""
+    """Uses a fixed interval between slots."""
 
     def gap(self):
         return 250.0
 
 
 class AllAtOnce(Gate):
-    """The next begins while the last is under way."""
+    """Starts an admission while another is in progress."""
 
     def admit_next(self, now):
         self.current, self.free_at = None, now
@@ -108,19 +114,23 @@
 
 
 class TicketUsedTwice(Gate):
+    """Accepts a ticket more than once."""
+
     def _read_ticket(self, arrival):
         self.used_tickets.clear()
         return super()._read_ticket(arrival)
 
 
 class FlowsUnbounded(Gate):
+    """Does not limit the connections of a flow."""
+
     def _take_token(self, now, name):
         self._flow(now, name).tokens = BUCKET_SIZE
         return True
 
 
 class FormerInAnyOrder(Gate):
-    """Tickets of former lives keep a place, but not their order."""
+    """Keeps the places of former tickets, but not their order."""
 
     def _enqueue(self, now, arrival):
         row = super()._enqueue(now, arrival)
@@ -131,14 +141,14 @@
 
 
 class OnOneBeat(Reconnector):
-    """Told nothing, it comes back after the same pause as all."""
+    """Reconnects after the same pause as all others."""
 
     def _pause(self):
         return 500
 
 
 class SentByOldNews(Overflow):
-    """What was sent since the news does not count."""
+    """Does not count followers sent to a gateway since its report."""
 
     def pick(self, now, waiting, rate):
         for row in self.reports.values():
--- a/tests/spread_mistakes.py
+++ b/tests/spread_mistakes.py
@@ -1,4 +1,4 @@
-"""Mistakes seeded on purpose into spread: a check that finds none of them is no check."""
+"""Seeded mistakes in the decisions of spread: the checks must find each of them."""
 
 from hookrouter.decisions.spread import Spread, reported_load, shares, trickle
 from hookrouter.decisions.spread.load_estimates import LoadEstimates
@@ -6,7 +6,7 @@
 
 
 class LapsedStillSpent(Shares):
-    """What was lent is spent beyond its lease."""
+    """Spends a borrowed unit beyond its lease."""
 
     def expire(self, row, now, wall):
         lent, row.borrowed_units = row.borrowed_units, {}
@@ -17,7 +17,7 @@
 
 
 class CountedTwice(Shares):
-    """A ceded unit is taken back before its lease is over: after a split both sides spend it."""
+    """Takes a ceded unit back before its lease is over: after a partition both sides spend it."""
 
     def _cede_unit(self, row, own, now, wall, request_id):
         super()._cede_unit(row, own, now, wall, request_id)
@@ -25,7 +25,7 @@
 
 
 class TellsBeforeItReduces(Shares):
-    """The word goes out, the own spending stops with the next one."""
+    """Sends the grant first and stops its own spending one turn too late."""
 
     def _handle_request(self, row, now, wall, sender, request):
         own, before = row.own_unit, row.own_unit.last_turn
@@ -36,13 +36,15 @@
 
 
 class LeaseWithoutDrift(Shares):
+    """Cedes a unit for the requester's lease without the drift of the clocks."""
+
     def __init__(self, terms, incarnation, now):
         super().__init__(terms, incarnation, now)
         self.cede_duration = terms.lease
 
 
 class LeaseFromHearing(Shares):
-    """The asker counts its lease from when the answer came."""
+    """Counts the requester's lease from the arrival of the grant."""
 
     def receive(self, now, wall, sender, message):
         row = self.rows.get(message.cache)
@@ -53,7 +55,7 @@
 
 
 class DoubledCedeAddsTwice(Shares):
-    """A cede that is heard again is one more."""
+    """Counts a duplicate grant as another unit."""
 
     def _handle_grant(self, row, grant):
         super()._handle_grant(row, grant)
@@ -68,15 +70,15 @@
 
 
 class FormerLifeForgotten(Shares):
-    """One that starts spends its unit, which it may have ceded before."""
+    """Spends its unit after a restart, though a former incarnation may have ceded it."""
 
     def start(self, cache, born, weight, cold, now, wall):
         super().start(cache, born, weight, cold, now, wall)
-        self.rows[cache].own.state = HELD
+        self.rows[cache].own_unit.state = HELD
 
 
 class OpenTurnSpentByBoth(Shares):
-    """The turn that is open when a unit changes hands is the receiver's too."""
+    """Lets the receiver of a unit spend the turn that is open at the change of hands, too."""
 
     def _handle_grant(self, row, grant):
         return super()._handle_grant(
@@ -85,7 +87,7 @@
 
 
 class OldCedeTaken(Shares):
-    """An answer to whatever it asked once, in any life."""
+    """Accepts a grant for any request it ever made, in any incarnation."""
 
     def _handle_grant(self, row, grant):
         if grant.number not in row.borrowed_units or row.borrowed_units[grant.number].state != shares.ASKED:
@@ -102,27 +104,29 @@
 
 
 class NewsNeverAge(LoadEstimates):
+    """Does not let reports expire."""
+
     def others(self, cache, now):
         row = self.rows.get(cache)
         return None if row is None or row.updated_at is None else row.level
 
 
 class LiarUnbounded(LoadEstimates):
-    """Whatever is told is so."""
+    """Trusts each report without a bound."""
 
     def follow(self, row, target, now):
         return row.report.in_flight
 
 
 class FollowsAtOnce(LoadEstimates):
-    """As old as they are, the news are what a level is."""
+    """Sets the level to the report at once, whatever its age."""
 
     def follow(self, row, target, now):
         return target
 
 
 class OldNewsHold(LoadEstimates):
-    """What is heard last counts, not what was seen last."""
+    """Takes the report that arrived last for the newest."""
 
     def record(self, now, summary):
         row = self.rows.get(summary.cache)
@@ -132,7 +136,7 @@
 
 
 class OwnCountedTwice(Spread):
-    """Its own sends are among the others' too."""
+    """Counts its own sends among the others'."""
 
     def sent(self, cache, now, cost):
         super().sent(cache, now, cost)
@@ -140,7 +144,7 @@
 
 
 class IdleNeverTried(trickle.Trickle):
-    """Only the first in the order ever tries."""
+    """Lets only the first member in the order ever probe."""
 
     def tries(self, cache, now):
         row = self.rows.get(cache)
@@ -148,12 +152,14 @@
 
 
 class FoundByAllAtOnce(trickle.Trickle):
+    """Lets all members probe at once."""
+
     def tries(self, cache, now):
         return True
 
 
 class HeldOffByALiar(trickle.Trickle):
-    """While one says that it is sick nobody else tries."""
+    """Stops probing while a member reports failures."""
 
     def tries(self, cache, now):
         row = self.rows.get(cache)
@@ -161,7 +167,7 @@
 
 
 class DoubtedIsFresh(LoadEstimates):
-    """News under doubt weigh as much as others."""
+    """Gives doubted reports the weight of others."""
 
     def discounted(self, row, now):
         if row.report.state == reported_load.DOUBTED:
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -1,4 +1,4 @@
-"""Load spread by what others tell: the decisions, their checks shown mistakes, real processes."""
+"""Spreading of load: checks of the decisions, seeded mistakes, Control, and real processes."""
 
 import pytest
 from fleet import SECOND, cache, terms
@@ -23,23 +23,23 @@
     return made
 
 
-def test_parts_do_what_they_say():
+def test_component_checks_pass():
     assert checks.busy_wrong() is None
     assert checks.trickle_wrong() is None
     assert checks.spread_wrong() is None
 
 
 @pytest.mark.parametrize("seed", range(0, 300, 25))
-def test_no_turn_of_a_cold_cache_is_spent_by_two_whatever_happens(seed):
+def test_no_turn_of_a_cold_cache_is_spent_twice_under_faults(seed):
     lent = 0
     for one in range(seed, seed + 25):
         wrong, used = shares_world.broken(one)
         assert wrong == [], one
         lent += used
-    assert lent > 100  # shares do move
+    assert lent > 100  # units do change hands
 
 
-def test_every_interleaving_of_three_members_shares():
+def test_every_interleaving_of_three_members_with_shares():
     states, wrong, ended = shares_model.explore(checks.QUICK[0])
     assert wrong is None and ended and states > 5_000
 
@@ -49,7 +49,7 @@
     assert checks.found(mistake) is not None
 
 
-def test_old_news_make_no_herd_and_least_of_all_does():
+def test_stale_reports_cause_no_herding_unlike_least_loaded():
     plan = world.Plan(routers=20, rate=600.0, caches=8, delay=2.0, lead=4.0)
     ours = world.measured(plan._replace(way="ours"), 4)
     least = world.measured(plan._replace(way="least"), 4)
@@ -59,12 +59,12 @@
     assert ours["served"] > 0.98
 
 
-def test_a_recovered_cache_is_found_and_told():
+def test_a_recovered_cache_is_probed_and_reported():
     took, _ = world.found_again(world.Plan(way="ours", routers=20, rate=800.0, caches=8, delay=1.0, lead=2.0))
     assert took <= 5.0
 
 
-def test_control_heeds_what_is_told_and_goes_on_alone_when_it_ends():
+def test_control_uses_reported_load_and_decides_alone_without_reports():
     made = spread()
     control = Control(1, terms(), told=made)
     control.decide(NOW, [interface.CacheList(interface.REMEMBERED, tuple(cache(f"c{n}") for n in range(4)))])
@@ -77,7 +77,7 @@
     assert control.placing.load(control.row_by_id["c0"]) == control.placing.load(control.row_by_id["c1"])
 
 
-def test_a_share_is_asked_for_ceded_once_and_lapses():
+def test_a_unit_is_requested_granted_once_and_expires():
     lines = [cache("c0", born=NOW - SECOND)]
     asker, owner = spread(lines=lines), spread("r1", 1, lines)
     wall = NOW
@@ -89,7 +89,8 @@
     encode = checks.encode
     ceded = owner.receive(wall, wall, "r0", encode(asks[0].message))
     assert isinstance(ceded[0].message, UnitGrant)
-    assert owner.receive(wall, wall, "r0", encode(asks[0].message)) == ceded  # doubled: the same one
+    # a duplicate request gets the same answer
+    assert owner.receive(wall, wall, "r0", encode(asks[0].message)) == ceded
     assert owner.allowance("c0", wall, 1.0) is False
     for _ in range(2):
         asker.receive(wall, wall, "r1", encode(ceded[0].message))
@@ -102,16 +103,16 @@
     assert not asker.shares.rows["c0"].borrowed_units and owner.shares.rows["c0"].own_unit.state == "ceded"
 
 
-def test_what_cannot_be_read_changes_nothing():
+def test_malformed_messages_are_ignored():
     made = spread()
     for data in (b"", b"\xff", b"\x90", checks.encode(ProbeResult("x", True, 5)), checks.encode([1, 2])):
         assert made.receive(NOW, NOW, "r1", data) == []
 
 
-def test_who_did_not_try_takes_a_found_cache_for_cold_as_the_finder_does():
+def test_a_successful_probe_marks_the_cache_cold_where_it_was_not_probed():
     made = spread()
     word = checks.encode(ProbeResult("c1", True, 10, 500))
-    assert made.receive(NOW, NOW, "r1", word) == []  # not set aside here: it has news of its own
+    assert made.receive(NOW, NOW, "r1", word) == []  # not set aside here, so the result is of no use
     made.observe(NOW, "c1", True, 1)
     assert made.receive(NOW + SECOND, NOW, "r1", word) == [Started("c1", 510)]
     assert made.tries("c1", NOW + SECOND)
@@ -122,11 +123,11 @@
         read_text("x.ini", "[spread]\nlease = 2 s\n")
 
 
-def test_a_dozen_processes_spread_load_through_kills_a_cut_and_old_news():
+def test_twelve_processes_spread_load_under_kills_a_partition_and_stale_reports():
     from benchmarks.spread.processes import ON, crowd
 
     found = crowd(12, 8, ON, seconds=(5.0, 4.0, 4.0))
     assert found["ready"] and found["broken"] == []
-    assert found["spreads"] >= 10  # members of both zones heard each other
+    assert found["spreads"] >= 10  # members of both zones received reports of each other
     assert found["idle"] == 0 and found["falls"] == 0
     assert found["served"] > 0.9 and found["served_faults"] > 0.5
--- a/tests/test_warming.py
+++ b/tests/test_warming.py
@@ -1,4 +1,4 @@
-"""Warming's decisions: the sketch's bound and its merges, lists of liars, the plan, the table of steps, the pace."""
+"""Decisions of warming: bounds and merges of the sketch, false lists, the plan, the allowance of fills."""
 
 from collections import Counter
 from random import Random
@@ -89,7 +89,7 @@
 
 @given(st.permutations(range(4)), st.integers(0, 3))
 @settings(derandomize=True, max_examples=30)
-def test_the_sum_of_lists_does_not_depend_on_order_and_twice_is_once(order, again):
+def test_the_sum_of_lists_ignores_order_and_duplicates(order, again):
     made = [popularity_list(row(1, 5_000 * (k + 1)), row(k + 2, 3_000)) for k in range(4)]
     first, other = BorrowedLists(), BorrowedLists()
     for k in range(4):
@@ -103,7 +103,7 @@
     assert shown[0] == shown[1]
 
 
-def test_a_liar_brings_no_more_of_all_weight_than_its_stated_share():
+def test_a_false_list_contributes_no_more_weight_than_its_bound():
     for lenders in (3, 5, 9):
         table = BorrowedLists()
         for k in range(lenders - 1):
@@ -122,7 +122,7 @@
         popularity_list(age=lists.MAX_AGE + 1),
     ],
 )
-def test_a_list_that_contradicts_itself_is_put_aside(wrong):
+def test_a_list_that_contradicts_itself_is_rejected(wrong):
     with pytest.raises(UnusableList):
         lists.read(msgspec.msgpack.encode(wrong))
     with pytest.raises(UnusableList):
@@ -156,20 +156,20 @@
     return make_plan(at or location(), table, purged)
 
 
-def test_a_plan_has_what_hashes_there_and_nothing_that_must_not_be_filled():
+def test_a_plan_has_the_names_that_hash_to_the_cache_and_may_be_filled():
     rows = [row(n, 50_000) for n in range(60)]
     found = planned(*rows)
     names = {entry.name for entry in found}
     assert (
         names == {r.name for r in rows if "n" in rank(hash_key(r.object, 0), location().after)[:2]} and names
     )
-    for entry in found:  # from who had it by the hash
+    for entry in found:  # the source is the top candidate by the hash
         assert entry.source == rank(hash_key(entry.name[1], 0), CACHES)[0]
     assert not planned(*[row(n, 50_000, kind="order") for n in range(60)])
-    assert not planned(*[row(n, 20_000, kind="brief") for n in range(60)])  # stale before it is asked for
+    assert not planned(*[row(n, 20_000, kind="brief") for n in range(60)])  # stale before the next lookup
     assert not planned(*[row(n, 50_000, kind="unknown") for n in range(60)])
-    assert not planned(*[row(n, 10) for n in range(60)])  # hardly asked for
-    assert not planned(*[row(n, 1_000, size=10**8) for n in range(60)])  # a large tail
+    assert not planned(*[row(n, 10) for n in range(60)])  # too few lookups
+    assert not planned(*[row(n, 1_000, size=10**8) for n in range(60)])  # large objects with few lookups
     one = found[0]
     told = [Purge(0, 5, 1, "object", one.name[1])]
     assert one.name not in {e.name for e in planned(*rows, told=told, purge=4)}
@@ -179,14 +179,14 @@
     assert sources <= {"a", "p", "q"} and sources & {"p", "q"}
 
 
-def test_heirs_of_one_that_leaves_get_what_they_take_over():
+def test_caches_get_the_names_that_they_take_over_from_a_leaving_one():
     at = location("a", CACHES, ("a", "b", "c"), ("b", "c"))
     found = planned(*[row(n, 50_000) for n in range(60)], at=at)
     assert found and all("d" in rank(hash_key(e.name[1], 0), CACHES)[:2] for e in found)
     assert all(newly_kept(at, e.name, 2) and e.source != "d" for e in found)
 
 
-def test_a_liars_names_do_not_fill_more_than_its_share():
+def test_a_false_list_fills_no_more_of_the_plan_than_its_share():
     table = BorrowedLists()
     for k in range(4):
         table.add(f"r{k}", popularity_list(*[row(n, 50_000) for n in range(200)]))
@@ -196,7 +196,7 @@
     assert 0 < lies <= len(found) / 5 + STEP_SIZE
 
 
-def test_fills_never_take_what_is_kept_for_lookups_nor_more_than_is_borne():
+def test_fills_leave_the_reserve_for_lookups_and_stay_within_capacity():
     terms = ColdCapacity(0.3, 100_000, 2.0, 2_000)
     for seed in range(3):
         rng, allowance, spent, now = Random(seed), Allowance(terms, 0, 4, 0), [], 0
@@ -216,14 +216,14 @@
                 assert total <= terms.pace * capacity * (terms.burst + upto - began) + 30
 
 
-def test_a_sources_slots_are_shared_out_exactly():
+def test_the_slots_of_a_source_are_divided_exactly():
     for room in range(0, 12):
         for active in range(1, 9):
             for now in range(0, 10_000, 500):
                 assert sum(fair_share(room, active, position, now) for position in range(active)) == room
 
 
-def test_the_section_wants_sharing_beside_it():
+def test_the_section_needs_fleet_and_sharing():
     from hookrouter.errors.site import InvalidSiteFile
     from hookrouter.site import read_text
 
--- a/tests/test_warming_member.py
+++ b/tests/test_warming_member.py
@@ -1,4 +1,4 @@
-"""What carries a warming out: no fill without a live warrant, what the router notes, ends of fills."""
+"""Execution of a warming: no fill without a live warrant, what the router records, ends of fills."""
 
 from types import SimpleNamespace
 
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def host():
-    """A router as Heed and Warmed know it, and what it sent."""
+    """A router as Heed and Warmed use it, with the sends it made."""
     sent = []
     node = SimpleNamespace(
         terms=terms(),
@@ -58,14 +58,14 @@
 FILL = messages.Fill(("clip", "k1", 2), 1, 1_000, "c1", 7)
 
 
-def test_no_fill_goes_out_once_the_lease_is_over(host):
+def test_no_fill_is_sent_once_the_lease_is_over(host):
     warmed, events = begun(host, until=500)
     warmed._fill(FILL)
     warmed.warmer.reactor.advance(0)
     assert host.sent == [] and events == [("given up", messages.LEASE_OVER)]
 
 
-def test_a_fill_bears_its_number_and_a_refusal_ends_the_warming(host):
+def test_a_fill_carries_its_fencing_token_and_a_refusal_ends_the_warming(host):
     warmed, events = begun(host, until=501)
     warmed.table.state, warmed.table.in_flight = "warming", {FILL.name: object()}
     warmed._fill(FILL)
@@ -79,7 +79,7 @@
     assert events == [("given up", messages.OLD_NUMBER)]
 
 
-def test_it_ends_where_its_cache_drains_or_leaves(host):
+def test_a_warming_ends_when_its_cache_drains_or_leaves(host):
     for phase, cause in ((interface.DRAINING, messages.DRAINED), (interface.GONE, messages.CACHE_LEFT)):
         warmed, events = begun(host, until=501)
         host.heed.listed(
@@ -89,7 +89,7 @@
         assert events == [("given up", cause)]
 
 
-def test_the_router_notes_the_list_of_its_start_and_what_was_purged(host):
+def test_the_router_records_its_initial_list_and_purges(host):
     assert set(host.heed.caches) == {one.id for one in FLEET}
     assert host.heed.edges("edge", NOW, settled=True) == ("c0", "c1", "c2", "c3") and host.heed.parents(
         NOW
@@ -100,4 +100,4 @@
         and host.heed.age(host.kinds["clip"], "k2", 2, NOW) == 0
     )
     host.heed.asked(SimpleNamespace(kind="order", object="k", part=0, size=1, group=0), NOW)
-    assert not host.heed.sketch.rows  # it may not be repeated: nobody fills it
+    assert not host.heed.sketch.rows  # not repeatable, so nobody fills it
--- a/tests/test_warming_schedules.py
+++ b/tests/test_warming_schedules.py
@@ -1,4 +1,4 @@
-"""Warming's tables under schedules of faults and in a bounded model; what checks them finds each seeded mistake."""
+"""Warming's state machine under schedules of faults and in a bounded model; each seeded mistake is found."""
 
 import pytest
 from warming_mistakes import MISTAKES
@@ -20,7 +20,7 @@
     assert wrong is None and ended and states > 500
 
 
-def test_the_laws_hold():
+def test_merges_lists_and_allowances_keep_their_bounds():
     assert laws.broken() is None
 
 
--- a/tests/warming_mistakes.py
+++ b/tests/warming_mistakes.py
@@ -1,4 +1,4 @@
-"""Mistakes seeded on purpose in warming, each in the place of one part: what a check of safety must find."""
+"""Seeded mistakes in warming, each in one component: the checks must find each of them."""
 
 from hookrouter.decisions import warming
 from hookrouter.decisions.owners.fence import Fence
@@ -6,6 +6,8 @@
 
 
 class FillWithoutNumber(warming.Warming):
+    """Sends fills without a fencing token."""
+
     def handle(self, now, event):
         return [
             e._replace(number=0) if isinstance(e, messages.Fill) else e for e in super().handle(now, event)
@@ -13,34 +15,42 @@
 
 
 class NoFence(Fence):
+    """Admits every fencing token."""
+
     def admit(self, duty, number):
         return True
 
 
 class PurgeBetweenListAndFillLost(warming.RecentPurges):
+    """Ignores purges between the list and the fill."""
+
     def purged_among(self, wanted, since=(0, 0)):
         return super().purged_among(wanted) if since == (0, 0) else set()
 
 
 class PurgeOfBeforeTheListsForgotten(warming.RecentPurges):
-    """A purge that came between two lists counts by the newest list's number."""
+    """Counts purges between two lists by the newest list's number."""
 
     def purged_among(self, wanted, since=(0, 0)):
         return set() if since == (0, 0) else super().purged_among(wanted, since)
 
 
 class DrainingSource(warming.FillGate):
+    """Fills from the planned source although it is draining."""
+
     def _source(self, entry):
         return entry.source
 
 
 class DrainingTarget(warming.FillGate):
+    """Fills a target that is draining."""
+
     def update(self, now, open, *more):
         super().update(now, True, *more)
 
 
 class TriedAgain(warming.Warming):
-    """What failed goes to the end of its step."""
+    """Retries a failed fill at the end of its step."""
 
     def _fill_ended(self, event):
         entry = self.in_flight.get(event.name)
@@ -52,12 +62,14 @@
 
 
 class ProgressForgotten(warming.Warming):
+    """Ignores the steps of the former owner's plan."""
+
     def _former_steps(self):
         return []
 
 
 class NextStepUntold(warming.Warming):
-    """It goes on before the keepers know of the step before."""
+    """Starts a step before the one before it is recorded."""
 
     def _fill(self):
         self.recorded = self.done
@@ -67,6 +79,8 @@
 
 
 class FillsBeforeCourseIsKept(warming.Warming):
+    """Starts to fill before the plan is stored."""
+
     def _plan(self):
         return super()._plan() or steps.PLAN_STORED
 
@@ -74,31 +88,41 @@
 
 
 def dated_anew(order):
-    """A warmed copy bears the time of its fill and not its source's."""
+    """Dates a warmed copy by its fill instead of its source."""
     return max([n for n, _ in order], default=0)
 
 
 class LookupsNotFirst(warming.Allowance):
+    """Does not charge lookups to the allowance."""
+
     def spend_lookup(self, now, cost):
         pass
 
 
 class ColdAllowanceExceeded(warming.Allowance):
+    """Does not charge fills to the allowance."""
+
     def try_fill(self, now, cost):
         return super().fill(now, 0)
 
 
 class OthersUnheeded(warming.Allowance):
+    """Takes the others' load for zero."""
+
     def set_others(self, now, age, rate):
         super().set_others(now, age, 0.0)
 
 
 class LiarUnbounded(warming.BorrowedLists):
+    """Does not cap the total of a lender at the median."""
+
     def total_cap(self):
         return max(popularity.total for popularity in self.lists.values())
 
 
 class AddedTwice(warming.BorrowedLists):
+    """Counts each further list of a lender as that of another one."""
+
     def add(self, lender, popularity):
         return super().add(f"{lender}.{len(self.lists)}", popularity)
 
@@ -107,7 +131,7 @@
     return warming.merge(warming.merge(one, other), other)
 
 
-# What it takes the place of, and the mistake.
+# (name of the component, its replacement)
 MISTAKES = (
     ("warming", FillWithoutNumber),
     ("fence", NoFence),
