--- a/hookrouter/fleet/member/warming.py
+++ b/hookrouter/fleet/member/warming.py
@@ -162,7 +162,7 @@
         return tuple(rank(cache, [self.member.name, *self.sharing.neighbours()])[: self.section["lenders"]])
 
     def borrow(self, lender, cache, came):
-        """came(lender, Lent or None, Course or None)."""
+        """came(lender, PopularityList or None, WarmupPlan or None)."""
         if lender == self.member.name:
             came(lender, *self.lender.lend(self.now(), cache))
             return
--- a/tests/warming_mistakes.py
+++ b/tests/warming_mistakes.py
@@ -103,7 +103,7 @@
     """Does not charge fills to the allowance."""
 
     def try_fill(self, now, cost):
-        return super().fill(now, 0)
+        return super().try_fill(now, 0)
 
 
 class OthersUnheeded(warming.Allowance):
