--- a/hookrouter/decisions/admission/overflow.py
+++ b/hookrouter/decisions/admission/overflow.py
@@ -1,8 +1,8 @@
 """Chooses an alternative gateway for one more follower, by the queue lengths that neighbours report.
 
 Reports are old: followers sent there since count as waiting there (load interpreted by age, Dahlin 2000), and
-no more are sent on one report than this gateway's share of the room that it states. So all gateways that act
-on the same report do not overfill the target.
+no more are sent on one report than this gateway's share of the room that it states. So gateways that
+act on the same report do not overfill the target together.
 """
 
 from typing import NamedTuple
--- a/hookrouter/decisions/spread/messages.py
+++ b/hookrouter/decisions/spread/messages.py
@@ -58,7 +58,7 @@
     share: float  # part of its full capacity at its start
     span: int  # until it is warm
     pace: float  # turns per tenth of a millisecond at full capacity
-    burst: float  # turns at full capacity: the time for which a turn stays open
+    burst: float  # in turns at full capacity: how long a turn stays open
 
 
 class SpreadTerms(NamedTuple):
--- a/hookrouter/decisions/spread/shares.py
+++ b/hookrouter/decisions/spread/shares.py
@@ -27,7 +27,7 @@
     (BORROWED, HELD, EXPIRED): LAPSED,
 }
 
-MAX_BORROWED = 16  # units of one cache at a time, with open requests
+MAX_BORROWED = 16  # units of one cache at a time, open requests included
 IDLE_BEFORE_SPARE = 5_000  # 500 ms without demand: then a router can spare its unit
 MAX_LEASE_PART = 0.7  # part of a lease: a turn that opens later might come after its end
 REQUESTS_PER_ROUND = 2  # members asked at a time: most have no turn that opens soon
--- a/hookrouter/decisions/warming/planning.py
+++ b/hookrouter/decisions/warming/planning.py
@@ -12,12 +12,12 @@
 from .rank import hash_key, rank
 from .residence_time import residence_time
 
-STEP_SIZE = 16  # names, which a successor may fill twice at most
+STEP_SIZE = 16  # names: the most that a successor may fill again
 HORIZON = 300_000  # 30 s: lookups up to then count; a copy needed later can be filled later
 MIN_LOOKUPS = 0.5  # within the horizon or the copy's freshness: with fewer, most fills are useless
 # part of a name's lookups that its second candidate gets, as a router's lead is up to two to one
 SECOND_SHARE = 0.1
-# The same for a fill from a parent, which may have to ask the origin sooner than necessary.
+# MIN_LOOKUPS of a fill from a parent, which may have to ask the origin sooner than necessary
 MIN_LOOKUPS_VIA_PARENT = 3.0
 # Bytes. A larger object needs proportionally more lookups, since it displaces a hundred others.
 LARGE_SIZE = 1_000_000
