--- a/hookrouter/decisions/admission/__init__.py
+++ b/hookrouter/decisions/admission/__init__.py
@@ -1,6 +1,6 @@
-"""Storms of returns: who is admitted when at a gateway that all come back to, and how each one comes."""
+"""Admission control at a gateway after a restart, and the reconnection policy of its followers."""
 
-from .comer import Comer as Comer
 from .gate import Gate as Gate
-from .words import Come as Come
-from .words import Terms as Terms
+from .messages import Arrival as Arrival
+from .messages import Terms as Terms
+from .reconnect import Reconnector as Reconnector
