--- a/benchmarks/loss.py
+++ b/benchmarks/loss.py
@@ -139,7 +139,7 @@
         self.engine.after(int(self.dice.expovariate(many)), self.other)
 
     def look(self):
-        self.gates[(self.engine.now - BEGIN) // SECOND].append(self.control.windows.share())
+        self.gates[(self.engine.now - BEGIN) // SECOND].append(self.control.windows.fill_share())
         self.engine.after(STEP, self.look)
 
     def row(self, n):
--- a/benchmarks/spread/ways.py
+++ b/benchmarks/spread/ways.py
@@ -2,7 +2,7 @@
 
 from math import exp
 
-from hookrouter.control.placing import LEAD, Placing
+from hookrouter.control.placing import MOVE_LOAD_RATIO, Placing
 from hookrouter.decisions.spread import Spread
 from hookrouter.decisions.spread.busy import MOST_MOVE, Busy
 
@@ -17,9 +17,11 @@
     drawn = None
 
     def rank(self, name, caches):
-        if caches is not self.c.edges:
+        if caches is not self.control.edges:
             return super().rank(name, caches)
-        among = caches if self.drawn is None else self.c.dice.sample(caches, min(self.drawn, len(caches)))
+        among = (
+            caches if self.drawn is None else self.control.rng.sample(caches, min(self.drawn, len(caches)))
+        )
         return sorted(among, key=self.load)
 
 
@@ -31,7 +33,7 @@
     """The base: nothing of cold caches or of those set aside."""
 
     def lead(self, name):
-        return LEAD
+        return MOVE_LOAD_RATIO
 
     def allowance(self, cache, now, cost):
         return None
@@ -110,7 +112,7 @@
     """Levels as ours, the design's one lead for all names."""
 
     def lead(self, name):
-        return LEAD
+        return MOVE_LOAD_RATIO
 
 
 class ByName(Spread):
--- a/benchmarks/spread/world.py
+++ b/benchmarks/spread/world.py
@@ -255,10 +255,16 @@
         """What its executor does for caches that are set aside."""
         control = member.control
         for n in control.edges if hasattr(member.told, "trickle") else ():
-            aside = control.health.trickle[n] == 1
-            cold = -1 if control.cold.now(n) is None else max(0, self.now() - control.cold.born[n])
+            aside = control.health.slow_start_limit[n] == 1
+            cold = (
+                -1 if control.cold.limits_in_force(n) is None else max(0, self.now() - control.cold.born[n])
+            )
             posts = member.told.own(
-                self.now(), control.cache_ids[n], aside, control.health.rest_until[n] if aside else None, cold
+                self.now(),
+                control.cache_ids[n],
+                aside,
+                control.health.paused_until[n] if aside else None,
+                cold,
             )
             for post in posts:
                 other = self.members[int(post.to[1:])]
--- a/hookrouter/adapter/__init__.py
+++ b/hookrouter/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire before the decisions: words and units only."""
+"""Connects the decisions to the simulator: translates names and units, nothing else."""
--- a/hookrouter/adapter/__main__.py
+++ b/hookrouter/adapter/__main__.py
@@ -1,4 +1,4 @@
-"""python -m hookrouter.adapter: batches on standard input, replies on standard output."""
+"""python -m hookrouter.adapter: reads batches from standard input, writes replies to standard output."""
 
 import sys
 
--- a/hookrouter/adapter/codec.py
+++ b/hookrouter/adapter/codec.py
@@ -1,4 +1,7 @@
-"""Translates the wire's words and milliseconds to the interface's words and tenths, and back."""
+"""Translates messages of the simulator, in milliseconds, to inputs of interface.py, and effects to messages.
+
+What cannot be read raises Malformed, which names the field.
+"""
 
 from .. import interface
 from ..terms import (
@@ -15,7 +18,7 @@
     read_text,
 )
 
-ENDS = {
+OUTCOMES = {
     "GOOD": interface.SATISFIED,
     "BAD": interface.ERRED,
     "FULL": interface.FULL,
@@ -36,6 +39,7 @@
 
 
 def read_cache(row):
+    """interface.Cache from a row of a list; missing values at its end are null."""
     row = row + [None] * (7 - len(row))
     return interface.Cache(
         id=read_text(row[4], "records.cache"),
@@ -49,16 +53,19 @@
 
 
 def read_list(rows):
+    """The caches of a list."""
     return tuple(
         read_cache(read_array(row, "defineList.records")) for row in read_array(rows, "defineList.records")
     )
 
 
 def read_report(row, what):
-    return None if row is None else tuple(read_number(v, what) for v in read_array(row, what))
+    """The numbers of a report, None if there is none; `what` names the field in errors."""
+    return None if row is None else tuple(read_number(number, what) for number in read_array(row, what))
 
 
 def read_bytes(value, what):
+    """Bytes from hexadecimal digits."""
     try:
         return bytes.fromhex(read_text(value, what))
     except ValueError:
@@ -66,6 +73,7 @@
 
 
 def read_peers(event, lists):
+    """interface.CacheList; lists: number -> caches, as defined earlier."""
     mode = read_choice(event[1], MODES, "peersKnown.mode")
     if mode == interface.UNANSWERED:
         return interface.CacheList(mode, ())
@@ -76,6 +84,7 @@
 
 
 def read_lookup(event, _lists):
+    """interface.Lookup from a newRequest."""
     return interface.Lookup(
         id=read_integer(event[1], "newRequest.corr"),
         kind=read_text(event[4], "newRequest.qos"),
@@ -89,10 +98,11 @@
 
 
 def read_end(event, _lists):
+    """interface.SendEnd from a result."""
     return interface.SendEnd(
         id=read_integer(event[1], "result.corr"),
         send=read_integer(event[4], "result.hop"),
-        outcome=read_choice(event[2], ENDS, "result.outcome"),
+        outcome=read_choice(event[2], OUTCOMES, "result.outcome"),
         copy_status=read_integer(event[3] or 0, "result.info"),
         settled=read_flag(event[5], "result.complete"),
         duration=ceil_units(event[6], "result.rtt"),
@@ -101,80 +111,83 @@
     )
 
 
-# By the wire's name: how many values follow it, and what reads them.
+# Name of the message -> (number of values that follow it, their reader).
 EVENTS = {
     "peersKnown": (3, read_peers),
     "newRequest": (9, read_lookup),
     "streaming": (
         4,
-        lambda e, _: interface.Begun(
-            read_integer(e[1], "streaming.corr"), read_integer(e[4], "streaming.hop")
+        lambda event, _: interface.Begun(
+            read_integer(event[1], "streaming.corr"), read_integer(event[4], "streaming.hop")
         ),
     ),
     "result": (9, read_end),
-    "hangup": (1, lambda e, _: interface.ClientGone(read_integer(e[1], "hangup.corr"))),
-    "reminder": (1, lambda e, _: interface.Alarm(read_integer(e[1], "reminder.label"))),
+    "hangup": (1, lambda event, _: interface.ClientGone(read_integer(event[1], "hangup.corr"))),
+    "reminder": (1, lambda event, _: interface.Alarm(read_integer(event[1], "reminder.label"))),
     "probeResult": (
         4,
-        lambda e, _: interface.ProbeEnd(
-            read_choice(e[1], ENDS, "probeResult.outcome"),
-            read_text(e[2], "probeResult.cache"),
-            ceil_units(e[3], "probeResult.rtt"),
-            read_report(e[4], "probeResult.telemetry"),
+        lambda event, _: interface.ProbeEnd(
+            read_choice(event[1], OUTCOMES, "probeResult.outcome"),
+            read_text(event[2], "probeResult.cache"),
+            ceil_units(event[3], "probeResult.rtt"),
+            read_report(event[4], "probeResult.telemetry"),
         ),
     ),
     "whisper": (
         2,
-        lambda e, _: interface.Whisper(
-            read_integer(e[1], "whisper.neighbour"), read_bytes(e[2], "whisper.msg")
+        lambda event, _: interface.Whisper(
+            read_integer(event[1], "whisper.neighbour"), read_bytes(event[2], "whisper.msg")
         ),
     ),
     "replaced": (
         3,
-        lambda e, _: interface.Purged(
-            floor_units(e[1], "replaced.howOld"),
-            read_integer(e[2], "replaced.group"),
-            None if e[3] is None else read_text(e[3], "replaced.contentId"),
+        lambda event, _: interface.Purged(
+            floor_units(event[1], "replaced.howOld"),
+            read_integer(event[2], "replaced.group"),
+            None if event[3] is None else read_text(event[3], "replaced.contentId"),
         ),
     ),
 }
 
 
 def read_event(event, lists):
+    """The input in this message; missing values at its end are null."""
     name = event[0] if event else None
     if not isinstance(name, str) or name not in EVENTS:
         raise Malformed(f"unknown event {excerpt(name)}")
-    wanted, read = EVENTS[name]
-    return read(event + [None] * (wanted + 1 - len(event)), lists)
+    field_count, read = EVENTS[name]
+    return read(event + [None] * (field_count + 1 - len(event)), lists)
 
 
-def write_obtain(e):
-    how = e.join_fill + 2 * e.hits_only + 4 * e.no_store + 8 * e.revalidate
+def write_obtain(effect):
+    """The message of an Obtain."""
+    flags = effect.join_fill + 2 * effect.hits_only + 4 * effect.no_store + 8 * effect.revalidate
     return [
         "obtain",
-        e.id,
-        e.source,
-        how,
-        e.timeout / UNITS_PER_MS,
-        e.max_age / UNITS_PER_MS,
-        e.priority,
-        e.cache,
+        effect.id,
+        effect.source,
+        flags,
+        effect.timeout / UNITS_PER_MS,
+        effect.max_age / UNITS_PER_MS,
+        effect.priority,
+        effect.cache,
     ]
 
 
 WRITERS = {
-    interface.Ask: lambda e: ["submitTo", e.id, e.timeout / UNITS_PER_MS, e.cache],
+    interface.Ask: lambda effect: ["submitTo", effect.id, effect.timeout / UNITS_PER_MS, effect.cache],
     interface.Obtain: write_obtain,
-    interface.Nack: lambda e: ["pushBack", e.id, e.retry_after / UNITS_PER_MS],
-    interface.Fail: lambda e: ["endFailed", e.id],
-    interface.Cancel: lambda e: ["stopAttempt", e.id, e.send],
-    interface.SetAlarm: lambda e: ["setAlarm", e.delay / UNITS_PER_MS, e.token],
-    interface.Subscribe: lambda e: ["keepInformed", e.wanted],
-    interface.Probe: lambda e: ["inspect", e.cache],
-    interface.Tell: lambda e: ["writePeer", e.router, e.text.hex()],
-    interface.Log: lambda e: ["log", e.text],
+    interface.Nack: lambda effect: ["pushBack", effect.id, effect.retry_after / UNITS_PER_MS],
+    interface.Fail: lambda effect: ["endFailed", effect.id],
+    interface.Cancel: lambda effect: ["stopAttempt", effect.id, effect.send],
+    interface.SetAlarm: lambda effect: ["setAlarm", effect.delay / UNITS_PER_MS, effect.token],
+    interface.Subscribe: lambda effect: ["keepInformed", effect.wanted],
+    interface.Probe: lambda effect: ["inspect", effect.cache],
+    interface.Tell: lambda effect: ["writePeer", effect.router, effect.text.hex()],
+    interface.Log: lambda effect: ["log", effect.text],
 }
 
 
 def write_effect(effect):
+    """The message that carries out this effect."""
     return WRITERS[type(effect)](effect)
--- a/hookrouter/command/trace.py
+++ b/hookrouter/command/trace.py
@@ -158,10 +158,10 @@
     made = Account()
     for name, row in rows(found(paths)):
         if hasattr(row, "event"):
-            made.take(name, row)
+            made.add(name, row)
         else:
             made.begin(row)
-    if not made.ends:
+    if not made.ended_lookups:
         nothing = NoTraceFound("no lookup has its end in these traces")
         nothing.exit_code = FAILED
         raise nothing
@@ -170,14 +170,14 @@
         made.by_kind(),
         made.lost(),
         made.sends(),
-        made.beliefs(),
+        made.by_load(),
         made.by_size(),
     )
     if as_json:
         print(
             json.dumps(
                 {
-                    "lookups": len(made.ends),
+                    "lookups": len(made.ended_lookups),
                     "rows": made.rows,
                     "skipped": made.skipped,
                     "course": course,
@@ -192,7 +192,7 @@
         return
     percent = lambda share: f"{100 * share:.1f}"  # noqa: E731
     words = ("in budget", "late", "nacked", "failed", "left")
-    print(f"{len(made.ends)} lookups, {made.rows} decisions")
+    print(f"{len(made.ended_lookups)} lookups, {made.rows} decisions")
     table(
         ("from s", "lookups", *words, "utility %", "sends"),
         [
@@ -253,7 +253,7 @@
                 )
             continue
         try:
-            made[name].take(row)
+            made[name].play(row)
         except (KeyError, TypeError, IndexError, AttributeError) as wrong:
             raise TraceNotReplayable(
                 f"{name}: a {row.event} at {row.at} that this build cannot play: {wrong!r}; "
--- a/hookrouter/control/__init__.py
+++ b/hookrouter/control/__init__.py
@@ -1,3 +1,3 @@
-"""Every decision of the router, by six mechanisms under five rules: decide(now, inputs) -> effects."""
+"""All decisions of the router, without I/O: Control.decide(now, inputs) returns the effects to carry out."""
 
 from .router import Control as Control
--- a/hookrouter/control/copies.py
+++ b/hookrouter/control/copies.py
@@ -1,53 +1,61 @@
-"""Copies of the router's own: what is kept of answers, and which lookups they satisfy."""
+"""Copies that the router itself keeps: which answers are stored and which lookups they satisfy."""
 
 from .. import interface
 from ..tables.copy_cache import CopyCache
 from .purges import PURGE_SLACK
 
-OWN_LARGEST = 1 / 16  # of the room: one copy beyond it would cost too many others
+MAX_COPY_SHARE = 1 / 16  # of the capacity: a larger copy would evict too many others
 
 
 class Copies:
-    def __init__(self, beliefs, terms, purges):
-        self.b, self.purges, self.kinds = beliefs, purges, terms.kinds
-        self.room, self.flows, self.flow = (
+    """The router's own copies and the queue of its own link, which sends them."""
+
+    def __init__(self, state, terms, purges):
+        self.state, self.purges, self.kinds = state, purges, terms.kinds
+        self.capacity, self.concurrent_answers, self.answer_rate = (
             terms.own_copy_bytes,
             terms.own_concurrent_answers or 1,
             terms.own_answer_rate or 1,
         )
-        self.free, self.kept = 0, CopyCache(terms.own_copy_bytes)  # when the router's own link is free
+        self.link_free_at, self.stored = 0, CopyCache(terms.own_copy_bytes)
 
-    def given(self, lk, share):
-        """Whether one was fresh and there in time over the router's own link, which takes them in order."""
-        made, size, _ = self.kept.get(lk.copy_key)
+    def try_answer(self, lookup, budget_share):
+        """Answers the lookup from an own copy if that is fresh and arrives within this share of the latency
+        budget; returns whether it did. The link sends copies in order.
+        """
+        made, size, _ = self.stored.get(lookup.copy_key)
         if made is None:
             return False
-        kind, pure, now = self.kinds[lk.kind_index], size / self.flow, self.b.now
-        free = max(now, self.free) + pure / self.flows
-        budget = share * (kind.latency_budget + kind.budget_stretch * pure)
-        late = max(now + pure, free) > min(lk.due, now + max(pure, budget))
-        if made < self.purges.guarded(lk) or now - made > (kind.fresh_duration or now) or late:
+        kind, sending_time, now = self.kinds[lookup.kind_index], size / self.answer_rate, self.state.now
+        link_free_at = max(now, self.link_free_at) + sending_time / self.concurrent_answers
+        budget = budget_share * (kind.latency_budget + kind.budget_stretch * sending_time)
+        late = max(now + sending_time, link_free_at) > min(lookup.due, now + max(sending_time, budget))
+        if made < self.purges.earliest_allowed(lookup) or now - made > (kind.fresh_duration or now) or late:
             return False
-        self.free = free
-        self.kept.mark_used(lk.copy_key)
-        self.b.emit(interface.Give(lk.id))
+        self.link_free_at = link_free_at
+        self.stored.mark_used(lookup.copy_key)
+        self.state.emit(interface.Give(lookup.id))
         return True
 
-    def keep(self, lk, end):
-        """Never what a purge has told to be old, though it may have been sent for before."""
-        kind = self.kinds[lk.kind_index]
-        if end.copy is None or not self.room or kind.idempotency != interface.IDEMPOTENT or kind.write:
+    def keep(self, lookup, end):
+        """Stores the copy that this answer carries, unless a purge has invalidated it since it was made."""
+        kind = self.kinds[lookup.kind_index]
+        if end.copy is None or not self.capacity or kind.idempotency != interface.IDEMPOTENT or kind.write:
             return
         made, size = end.copy
-        purged = self.purges.newest(lk) + PURGE_SLACK
-        if made <= max(purged, self.purges.guarded(lk)) or size > self.room * OWN_LARGEST:
+        purged_at = self.purges.newest_purge(lookup) + PURGE_SLACK
+        if (
+            made <= max(purged_at, self.purges.earliest_allowed(lookup))
+            or size > self.capacity * MAX_COPY_SHARE
+        ):
             return
-        self._drop(self.kept.put(lk.copy_key, made, size, lk.group))
-        self.b.emit(interface.Keep(lk.id, end.send))
+        self._drop(self.stored.put(lookup.copy_key, made, size, lookup.group))
+        self.state.emit(interface.Keep(lookup.id, end.send))
 
-    def purge(self, name, made):
-        self._drop(self.kept.purge(name, made + PURGE_SLACK))
+    def purge(self, target, purged_at):
+        """Drops the copies of this object or group that were made up to the purge."""
+        self._drop(self.stored.purge(target, purged_at + PURGE_SLACK))
 
-    def _drop(self, gone):
-        for own in gone:
-            self.b.emit(interface.Drop(*own))
+    def _drop(self, keys):
+        for key in keys:
+            self.state.emit(interface.Drop(*key))
--- a/hookrouter/control/health.py
+++ b/hookrouter/control/health.py
@@ -1,76 +1,95 @@
-"""Setting aside: a cache with failures in a row rests, then gets a trickle, doubled while it goes well."""
+"""Caches with failures in a row are set aside: a pause, then slow start, doubled with each success."""
 
-FAILURES = 3  # in a row: one or two are chance where a few in a hundred fail, three hardly
-REST = 10_000  # 1 s without sends once set aside: short beside the troubles, long beside a stall
-LONGEST_REST = 40_000  # 4 s: a well cache is found again soon, and a sick one costs a lookup each time
-TRICKLE_DONE = 16  # sends out at once: beyond it a trickle limits nothing
+MAX_FAILURES = 3  # in a row: where a few in a hundred fail, one or two are chance, three hardly
+INITIAL_PAUSE = 10_000  # 1 s without sends: short compared with faults, long compared with stalls
+MAX_PAUSE = 40_000  # 4 s: recovery is noticed soon, and each try at a faulty cache costs a lookup
+SLOW_START_DONE = 16  # sends in flight: a higher limit has no effect
 
-GOOD, BAD, WELL, TRICKLE = "good", "bad", "well", "trickle"
+GOOD, BAD, HEALTHY, SLOW_START = "good", "bad", "well", "trickle"
 
 
 class Health:
-    def __init__(self, beliefs):
-        self.b = beliefs
-        self.strikes, self.rest = beliefs.add_column(0), beliefs.add_column(REST)
-        self.trickle, self.rest_until = beliefs.add_column(None), beliefs.add_column(None)
-        self.stalled = beliefs.add_column(0)  # until when it left several sends unanswered
-        self.patience = FAILURES, REST  # so many unanswered, the first for longer: a stall; set by lists
-
-    def silent(self, n):
+    """Failures in a row, pauses and slow start by cache; slow_start_limit is None while it is healthy."""
+
+    def __init__(self, state):
+        self.state = state
+        self.failures, self.pause = state.add_column(0), state.add_column(INITIAL_PAUSE)
+        self.slow_start_limit, self.paused_until = state.add_column(None), state.add_column(None)
+        self.stalled_until = state.add_column(0)  # end of its last stall
+        # A cache stalls if at least so many sends are unanswered, the first for longer than the time given.
+        self.stall_limits = MAX_FAILURES, INITIAL_PAUSE  # set again by each cache list
+
+    def is_stalled(self, row):
+        """Whether the cache leaves several sends unanswered now."""
         return (
-            self.b.unanswered[n] >= self.patience[0]
-            and self.b.now - self.b.unanswered_since[n] > self.patience[1]
+            self.state.unanswered[row] >= self.stall_limits[0]
+            and self.state.now - self.state.unanswered_since[row] > self.stall_limits[1]
         )
 
-    def answers(self, n):
-        if self.silent(n):
-            self.stalled[n] = self.b.now
-        self.b.record_answer(n)
+    def record_answer(self, row):
+        """Records an answer of any kind, and the end of a stall if there was one."""
+        if self.is_stalled(row):
+            self.stalled_until[row] = self.state.now
+        self.state.record_answer(row)
 
-    def stalls(self, sent):
-        """Whether its cache answered nothing since it went out, or for longer than `patience` meanwhile."""
-        n = sent.target
-        return self.b.last_answer_at[n] < sent.sent_at or sent.sent_at < self.stalled[n] or self.silent(n)
-
-    def told(self, n, word):
-        CACHE_TABLE[WELL if self.trickle[n] is None else TRICKLE, word](self, n)
-
-    def _clear(self, n):
-        self.strikes[n] = 0
-
-    def _strike(self, n):
-        self.strikes[n] += 1
-        if self.strikes[n] >= FAILURES:
-            self.set_aside(n)
-
-    def set_aside(self, n):
-        if self.rest_until[n] is not None and self.b.now < self.rest_until[n]:
-            return  # ends of what was sent before
-        self.trickle[n], self.rest_until[n] = 1, self.b.now + self.rest[n]
-        self.rest[n] = min(LONGEST_REST, 2 * self.rest[n])
-
-    def _widen(self, n):
-        self.trickle[n] *= 2
-        if self.trickle[n] >= TRICKLE_DONE:
-            self.restore(n)
+    def delayed_by_stall(self, send):
+        """Whether its cache has answered nothing since this send was made, or stalled after it."""
+        row = send.target
+        return (
+            self.state.last_answer_at[row] < send.sent_at
+            or send.sent_at < self.stalled_until[row]
+            or self.is_stalled(row)
+        )
 
-    def restore(self, n):
-        self.trickle[n], self.rest_until[n], self.rest[n], self.strikes[n] = None, None, REST, 0
+    def record(self, row, result):
+        """Applies a result of a send, GOOD or BAD, to the cache's state."""
+        HEALTH_TABLE[HEALTHY if self.slow_start_limit[row] is None else SLOW_START, result](self, row)
+
+    def _clear(self, row):
+        self.failures[row] = 0
+
+    def _count_failure(self, row):
+        self.failures[row] += 1
+        if self.failures[row] >= MAX_FAILURES:
+            self.set_aside(row)
+
+    def set_aside(self, row):
+        """Pauses sends to the cache; the pause doubles each time."""
+        if self.paused_until[row] is not None and self.state.now < self.paused_until[row]:
+            return  # the send was made before the pause
+        self.slow_start_limit[row], self.paused_until[row] = 1, self.state.now + self.pause[row]
+        self.pause[row] = min(MAX_PAUSE, 2 * self.pause[row])
+
+    def _widen(self, row):
+        self.slow_start_limit[row] *= 2
+        if self.slow_start_limit[row] >= SLOW_START_DONE:
+            self.restore(row)
+
+    def restore(self, row):
+        """Marks the cache as healthy."""
+        self.slow_start_limit[row], self.paused_until[row], self.pause[row], self.failures[row] = (
+            None,
+            None,
+            INITIAL_PAUSE,
+            0,
+        )
 
-    def usable(self, n):
-        if self.trickle[n] is None:
+    def usable(self, row):
+        """Whether the cache is healthy, or in slow start with fewer sends in flight than its limit."""
+        if self.slow_start_limit[row] is None:
             return True
-        if self.b.now < self.rest_until[n] or self.b.in_flight[n] >= self.trickle[n]:
+        if self.state.now < self.paused_until[row] or self.state.in_flight[row] >= self.slow_start_limit[row]:
             return False
-        return self.b.fleet_view is None or self.b.fleet_view.tries(
-            self.b.cache_ids[n], self.b.now
-        )  # some look, and tell
+        # In a fleet, some routers try the cache and report to the others.
+        return self.state.fleet_view is None or self.state.fleet_view.tries(
+            self.state.cache_ids[row], self.state.now
+        )
 
 
-# state of a cache, how a send there ended -> effect
-CACHE_TABLE = {
-    (WELL, GOOD): Health._clear,
-    (WELL, BAD): Health._strike,
-    (TRICKLE, GOOD): Health._widen,
-    (TRICKLE, BAD): Health.set_aside,
+# (state of a cache, result of a send) -> action
+HEALTH_TABLE = {
+    (HEALTHY, GOOD): Health._clear,
+    (HEALTHY, BAD): Health._count_failure,
+    (SLOW_START, GOOD): Health._widen,
+    (SLOW_START, BAD): Health.set_aside,
 }
--- a/hookrouter/control/learning.py
+++ b/hookrouter/control/learning.py
@@ -1,143 +1,177 @@
-"""What the end of a send tells: of its cache, of its source, of times, and of answers lost on the way."""
+"""Updates windows, health, answer times and the retry budget from the ends of sends; detects lost answers."""
 
 from .. import interface
 from .health import BAD, GOOD
-from .times import BLEND
+from .times import SMOOTHING
 
-HIT_STEP = 0.5  # of a fill's step: most answers are hits, and say at best that the location is calm
-ASTRAY = 2.0  # nats for answers lost on the way against a crowd: odds of seven to one
-ASTRAY_MOST = 4.0  # nats either way: what was long true must be unlearned within a few sends
-ASTRAY_FILLS = 0.25  # of fills silent: beyond it what feeds them may be gone, and only other sends tell
-SILENCE = 20_000  # 2 s without an answer of any kind: in a crowd hits and refusals still come
-SPARE_SHARE = 0.05  # further sends earned by each satisfied one: where nothing succeeds, nothing is repeated
-SPARE_MOST = 10.0  # further sends saved up: a cache's crash costs about as many before it is set aside
+HIT_GROWTH = 0.5  # relative to a fill: hits are frequent and show at best that the location is not overloaded
+LOSS_THRESHOLD = 2.0  # nats in favour of lost answers over overload: odds of seven to one
+MAX_LOSS_EVIDENCE = 4.0  # nats either way, so that a change shows within a few sends
+# Share of unanswered fills beyond which upstream may be down; only other sends count then.
+MAX_SILENT_FILLS = 0.25
+DEAD_AFTER = 20_000  # 2 s without any answer: under overload hits and refusals still arrive
+# Retries earned by each satisfied send: where nothing succeeds, nothing is repeated.
+RETRY_BUDGET_RATIO = 0.05
+MAX_RETRY_BUDGET = 10.0  # about as many retries as a crashed cache costs before it is set aside
 
-SILENT, TARDY, PROMPT = "silent", "tardy", "prompt"
+SILENT, SLOW, PROMPT = "silent", "tardy", "prompt"
 
-# How a send ended, whether outside feeds it -> nats: its odds under loss over a crowd (docs/results/loss.md).
-NATS = {
-    (SILENT, True): 0.3,  # nearly every miss of a fill, against three in four
-    (SILENT, False): 3.0,  # one in twenty, against one in a thousand
-    (TARDY, True): -2.5,  # hardly one miss in fifty, against one in four
-    (TARDY, False): -2.5,
-    (PROMPT, True): 0.0,  # hits of caches, in either
+# (observation, whether a fill) -> nats: log odds of lost answers against overload (docs/results/loss.md).
+LOG_ODDS = {
+    (SILENT, True): 0.3,  # under loss nearly all missed budgets of fills, under overload three in four
+    (SILENT, False): 3.0,  # one in twenty against one in a thousand
+    (SLOW, True): -2.5,  # under one missed budget in fifty against one in four
+    (SLOW, False): -2.5,
+    (PROMPT, True): 0.0,  # hits are as likely in both cases
     (PROMPT, False): -0.05,
 }
 
 
 class Learning:
+    """Evaluates each end of a send and each latency budget that passes without an answer."""
+
     def __init__(self, control, terms):
-        self.c, self.times, self.windows = control, control.times, control.windows
-        self.tardy = control.add_column(False)  # the last answer came late
-        self.step = (
-            terms.topology.zone_routers**-0.5
-        )  # of the paper's: the crew's chance steps add up by the root
-        self.spare, self.astray = SPARE_MOST, 0.0  # further sends; nats
-        self.silent, self.mute_via = 0.0, None  # share of fills; what fed the last of them
+        self.control, self.times, self.windows = control, control.times, control.windows
+        self.answered_late = control.add_column(False)  # whether the last answer was late
+        # Factor on the window growth of the CoBlitz paper: chance steps of n routers add up like sqrt(n).
+        self.growth = terms.topology.zone_routers**-0.5
+        self.retry_budget, self.loss_evidence = MAX_RETRY_BUDGET, 0.0  # in sends; in nats
+        self.silent_share, self.last_silent_upstream = 0.0, None  # of fills; row
 
-    def look(self):
-        """Budgets that are over: a crowd is seen then, not when its sends end."""
-        for sent in self.c.sends_over_budget():
-            if self.c.now - sent.sent_at >= int(self.times.budget(sent)):
-                self._miss(sent)
+    def check_budgets(self):
+        """Counts sends whose latency budget has passed: overload shows before these sends end."""
+        for send in self.control.sends_over_budget():
+            if self.control.now - send.sent_at >= int(self.times.budget(send)):
+                self._count_miss(send)
 
-    def ended(self, sent, end):
-        c, windows, word, fills = self.c, self.windows, end.outcome, sent.upstream is not None
-        if word not in (
+    def on_send_end(self, send, end):
+        """Evaluates the end of a send; send: PendingSend, end: interface.SendEnd."""
+        control, windows, outcome, is_fill = (
+            self.control,
+            self.windows,
+            end.outcome,
+            send.upstream is not None,
+        )
+        if outcome not in (
             interface.UNREACHED,
             interface.BROKEN,
             interface.LATE,
             interface.CANCELLED,
             interface.VOID,
         ):
-            c.health.answers(sent.target)
-            if c.cold.lost[sent.target]:
-                c.cold.start(sent.target, c.now)
-        # Nothing came from there since the send went out; and what the answer tells of the copy.
-        mute, dry = (n is not None and c.last_answer_at[n] < sent.sent_at for n in (sent.target, sent.source))
-        if word == interface.FULL and fills:
-            windows.slide(sent.upstream, True)
-            windows.turn(True)
-        self._weigh(sent, end, mute, fills)
-        stray = word == interface.LATE and self.stray()
-        if word == interface.LATE and not mute:
-            self._miss(sent)
-        if word == interface.SATISFIED:
-            return self._satisfied(sent, end, fills)
-        if (
-            word == interface.LATE and sent.early_timeout and not stray
-        ):  # backing off: it takes longer than that
-            self.times.took(sent.kind_index, 2 * end.duration - sent.sending_time)
-        if word == interface.MISSING:
-            c.health.told(sent.target, GOOD)  # it answers, though it lacks the object
-        # Both are blamed: what goes well clears the one not at fault. Time-outs beside answers are a crowd's.
-        failed = word in (interface.ERRED, interface.UNREACHED, interface.BROKEN) or (
-            word == interface.LATE and mute
+            control.health.record_answer(send.target)
+            if control.cold.presumed_dead[send.target]:
+                control.cold.start(send.target, control.now)
+        # Silent: nothing arrived from there since the send was made.
+        target_silent, source_silent = (
+            row is not None and control.last_answer_at[row] < send.sent_at
+            for row in (send.target, send.source)
+        )
+        if outcome == interface.FULL and is_fill:
+            windows.adjust(send.upstream, True)
+            windows.adjust_gate(True)
+        self._weigh_loss(send, end, target_silent, is_fill)
+        answers_lost = outcome == interface.LATE and self.answers_lost()
+        if outcome == interface.LATE and not target_silent:
+            self._count_miss(send)
+        if outcome == interface.SATISFIED:
+            return self._satisfied(send, end, is_fill)
+        if outcome == interface.LATE and send.early_timeout and not answers_lost:  # back off
+            self.times.record_latency(send.kind_index, 2 * end.duration - send.sending_time)
+        if outcome == interface.MISSING:
+            control.health.record(send.target, GOOD)  # it answers, although it lacks the object
+        # Target and source are both blamed; later successes clear the one not at fault. Timeouts while the
+        # cache answers other sends indicate overload.
+        failed = outcome in (interface.ERRED, interface.UNREACHED, interface.BROKEN) or (
+            outcome == interface.LATE and target_silent
+        )
+        if failed or (outcome == interface.FULL and not is_fill):
+            control.health.record(send.target, BAD)
+        # It may have restarted, which the list reports seconds late: once it answers, it counts as cold.
+        silent = (
+            control.now - control.last_answer_at[send.target] > DEAD_AFTER
+            and control.health.slow_start_limit[send.target] is not None
+        )
+        if silent and outcome in (interface.UNREACHED, interface.BROKEN, interface.LATE):
+            control.cold.presumed_dead[send.target] = True
+        waited = (
+            outcome == interface.LATE and not answers_lost and (source_silent or not windows.hits_reported)
         )
-        if failed or (word == interface.FULL and not fills):
-            c.health.told(sent.target, BAD)
-        # Silent in a row: it may have died. The list tells seconds late; what answers again counts as cold.
-        silent = c.now - c.last_answer_at[sent.target] > SILENCE and c.health.trickle[sent.target] is not None
-        if silent and word in (interface.UNREACHED, interface.BROKEN, interface.LATE):
-            c.cold.lost[sent.target] = True
-        waited = word == interface.LATE and not stray and (dry or not windows.tells_hits)
-        if fills and not windows.crowd() and (waited or word in (interface.ERRED, interface.FULL)):
-            c.health.told(sent.source, BAD)
+        if is_fill and not windows.overloaded() and (waited or outcome in (interface.ERRED, interface.FULL)):
+            control.health.record(send.source, BAD)
 
-    def _satisfied(self, sent, end, fills):
-        times, k, late = self.times, sent.kind_index, end.duration > self.times.budget(sent)
-        found = end.copy_status in (interface.FOUND, interface.AGED)
-        # A hit tells little of the source; where hits are not told, a quick answer passes for one.
-        hit = found if self.windows.tells_hits else end.duration - sent.sending_time < times.average[k]
-        if fills and not sent.over_budget and not (late and self.c.health.stalls(sent)):
-            self.windows.slide(sent.upstream, late, self.step * (HIT_STEP if hit else 1))
+    def _satisfied(self, send, end, is_fill):
+        times, kind_index, late = self.times, send.kind_index, end.duration > self.times.budget(send)
+        reported_hit = end.copy_status in (interface.FOUND, interface.AGED)
+        # A hit says little about the source. Where hits are not reported, a quick answer is taken for one.
+        hit = (
+            reported_hit
+            if self.windows.hits_reported
+            else end.duration - send.sending_time < times.average[kind_index]
+        )
+        if is_fill and not send.over_budget and not (late and self.control.health.delayed_by_stall(send)):
+            self.windows.adjust(send.upstream, late, self.growth * (HIT_GROWTH if hit else 1))
             if late or not hit:
-                self.windows.turn(late)
-        if not fills or found or not self.windows.tells_hits:
-            self.windows.slide(sent.target, late)
-        self.tardy[sent.target] = late
-        self.spare = min(SPARE_MOST, self.spare + SPARE_SHARE)
-        times.took(k, max(0.0, end.duration - sent.sending_time))
-        if sent.sending_time or (
-            sent.target_idle and (not fills or found)
-        ):  # else a crowd's wait would pass for sending
-            times.worked(k, sent.sending_time or end.duration)
-        self.c.health.told(sent.target, GOOD)
-        if fills and (
-            not self.windows.tells_hits
+                self.windows.adjust_gate(late)
+        if not is_fill or reported_hit or not self.windows.hits_reported:
+            self.windows.adjust(send.target, late)
+        self.answered_late[send.target] = late
+        self.retry_budget = min(MAX_RETRY_BUDGET, self.retry_budget + RETRY_BUDGET_RATIO)
+        times.record_latency(kind_index, max(0.0, end.duration - send.sending_time))
+        # Without a known size only answers of idle caches count: others include waiting for other sends.
+        if send.sending_time or (send.target_idle and (not is_fill or reported_hit)):
+            times.record_work(kind_index, send.sending_time or end.duration)
+        self.control.health.record(send.target, GOOD)
+        if is_fill and (
+            not self.windows.hits_reported
             or end.copy_status in (interface.FILLED, interface.FROM_ORIGIN, interface.JOINED)
         ):
-            self.c.health.told(sent.source, GOOD)
-            self.c.health.answers(sent.source)
+            self.control.health.record(send.source, GOOD)
+            self.control.health.record_answer(send.source)
 
-    def _weigh(self, sent, end, mute, fills):
-        """Answers lost, or a crowd, which is late before it is silent? Wald's sequential test (1945)."""
+    def _weigh_loss(self, send, end, target_silent, is_fill):
+        """Wald's sequential test (1945) of lost answers against overload, in which answers are late before
+        they are missing.
+        """
         silent = end.outcome == interface.LATE
-        if fills and not mute and end.outcome in (interface.SATISFIED, interface.LATE):
-            self.silent += BLEND * (silent - self.silent)
-        if silent and (mute or (fills and (sent.upstream == self.mute_via or self.silent > ASTRAY_FILLS))):
-            return  # a cache or a source that is gone tells only of itself
-        if silent and fills:
-            self.mute_via = sent.upstream
-        late = end.outcome == interface.SATISFIED and end.duration > self.times.budget(sent)
-        sign = SILENT if silent else TARDY if late or (fills and end.outcome == interface.FULL) else PROMPT
-        if silent or end.outcome in (interface.SATISFIED, interface.MISSING) or sign == TARDY:
-            self.astray = min(ASTRAY_MOST, max(-ASTRAY_MOST, self.astray + NATS[sign, fills]))
+        if is_fill and not target_silent and end.outcome in (interface.SATISFIED, interface.LATE):
+            self.silent_share += SMOOTHING * (silent - self.silent_share)
+        if silent and (
+            target_silent
+            or (
+                is_fill
+                and (send.upstream == self.last_silent_upstream or self.silent_share > MAX_SILENT_FILLS)
+            )
+        ):
+            return  # a dead cache or source says nothing about losses elsewhere
+        if silent and is_fill:
+            self.last_silent_upstream = send.upstream
+        late = end.outcome == interface.SATISFIED and end.duration > self.times.budget(send)
+        observation = (
+            SILENT if silent else SLOW if late or (is_fill and end.outcome == interface.FULL) else PROMPT
+        )
+        if silent or end.outcome in (interface.SATISFIED, interface.MISSING) or observation == SLOW:
+            self.loss_evidence = min(
+                MAX_LOSS_EVIDENCE,
+                max(-MAX_LOSS_EVIDENCE, self.loss_evidence + LOG_ODDS[observation, is_fill]),
+            )
 
-    def stray(self):
-        return self.astray >= ASTRAY
+    def answers_lost(self):
+        """Whether answers are being lost on the way, rather than late because of overload."""
+        return self.loss_evidence >= LOSS_THRESHOLD
 
-    def _miss(self, sent):
-        """Its budget is over without an answer: counted once, then or at its end."""
-        if sent.over_budget or self.c.health.stalls(
-            sent
-        ):  # a stall tells of its cache, not of source or link
+    def _count_miss(self, send):
+        """Counts a missed budget, once per send: when it passes or when the send ends."""
+        # A stall of the cache says nothing about its source or link.
+        if send.over_budget or self.control.health.delayed_by_stall(send):
             return
-        sent.over_budget, fills = True, sent.upstream is not None
-        crowd = self.windows.crowd() and not self.stray()
-        if fills and not self.stray():
-            self.windows.slide(sent.upstream, True)
-            self.windows.turn(True)
-        # Sends unanswered at a cache that answers others in time are lost, or wait for their source.
-        if (crowd or self.tardy[sent.target]) and (not fills or not self.windows.tells_hits):
-            self.windows.slide(sent.target, True)
+        send.over_budget, is_fill = True, send.upstream is not None
+        overloaded = self.windows.overloaded() and not self.answers_lost()
+        if is_fill and not self.answers_lost():
+            self.windows.adjust(send.upstream, True)
+            self.windows.adjust_gate(True)
+        # A send unanswered at a cache that answers others in time is lost or waits for its source.
+        if (overloaded or self.answered_late[send.target]) and (
+            not is_fill or not self.windows.hits_reported
+        ):
+            self.windows.adjust(send.target, True)
--- a/hookrouter/control/lookups.py
+++ b/hookrouter/control/lookups.py
@@ -1,135 +1,165 @@
-"""The life of a lookup: a table of states and inputs, the loop that reads it, and its effects."""
+"""State machine of a lookup: a transition table, the loop that applies it, and its actions."""
 
 from .. import interface
 from ..tables.router_state import PendingSend
-from .times import LEAST_WAIT
+from .times import MIN_TIMEOUT
 
-STAY_AWAY = 3_000  # 300 ms at most, half at least: a stall is over by then, a client's budget hardly
-OWN_SHARE = 0.25  # of the budget, for an own copy's way: the queue's rest is for what finds no cache
+# At most 300 ms, at least half of it: a stall is over by then, the client's latency budget usually not.
+MAX_RETRY_AFTER = 3_000
+# An own copy may use this share of the latency budget on the router's link; the rest of the link's queue is
+# left to lookups that find no cache.
+OWN_COPY_BUDGET_SHARE = 0.25
 
-NEW, PLACING, OUT, PAIRING, PAIR, ENDED = "new", "placing", "out", "pairing", "pair", "ended"
-ARRIVED, SENT, STUCK, FAILED = "arrived", "sent", "stuck", "failed"
-OVERRUN, SETTLED, DUE, AT_HAND = "overrun", "settled", "due", "at hand"
+# States.
+NEW, PLACING, IN_FLIGHT, DUPLICATING, DUPLICATED, ENDED = "new", "placing", "out", "pairing", "pair", "ended"
+# Inputs.
+ARRIVED, SENT, NO_SEND, FAILED = "arrived", "sent", "stuck", "failed"
+OVERRUN, SETTLED, DUE, ANSWERED = "overrun", "settled", "due", "at hand"
 
 
 class Lookups:
+    """Moves pending lookups through their states; emits sends, cancels and final answers."""
+
     def __init__(self, control, terms):
-        self.c, self.terms, self.kinds = control, terms, terms.kinds
-        self.stay_away = min(STAY_AWAY, terms.max_retry_after) if terms.sends_retry_after else 0
+        self.control, self.terms, self.kinds = control, terms, terms.kinds
+        self.max_retry_after = min(MAX_RETRY_AFTER, terms.max_retry_after) if terms.sends_retry_after else 0
 
-    def step(self, lk, word):
-        while word is not None:
-            lk.state, effect = LOOKUP_TABLE[lk.state, word]
-            word = effect(self, lk)
+    def step(self, lookup, event):
+        """Applies an input to a lookup, and each further input that the action of a transition returns."""
+        while event is not None:
+            lookup.state, effect = LOOKUP_TABLE[lookup.state, event]
+            event = effect(self, lookup)
 
-    def _nothing(self, lk):
-        """The next state says all."""
+    def _no_effect(self, lookup):
+        """The transition has no action."""
 
-    def _place(self, lk):
-        """One more send where rules, limits and time allow it."""
-        c, kind, left = self.c, self.kinds[lk.kind_index], lk.due - self.c.now
-        if c.purges.fenced(kind):
-            return self._stuck(lk, "fenced")
-        if c.copies.given(lk, OWN_SHARE):
-            return AT_HAND
-        if lk.hits_only:
-            return self._stuck(lk, "fills")
-        if lk.send_count and not lk.fill_refused and not kind.write and c.windows.crowd():
-            return self._stuck(lk, "sends")
+    def _try_send(self, lookup):
+        """Starts another send if rules, limits and the remaining time allow it."""
+        control, kind, time_left = self.control, self.kinds[lookup.kind_index], lookup.due - self.control.now
+        if control.purges.fenced(kind):
+            return self._cannot_send(lookup, "fenced")
+        if control.copies.try_answer(lookup, OWN_COPY_BUDGET_SHARE):
+            return ANSWERED
+        if lookup.hits_only:
+            return self._cannot_send(lookup, "fills")
+        if lookup.send_count and not lookup.fill_refused and not kind.write and control.windows.overloaded():
+            return self._cannot_send(lookup, "sends")
         if (
-            left < LEAST_WAIT
-            or lk.send_count >= self.terms.max_sends
-            or (lk.send_count and c.learning.spare < 1)
+            time_left < MIN_TIMEOUT
+            or lookup.send_count >= self.terms.max_sends
+            or (lookup.send_count and control.learning.retry_budget < 1)
         ):
-            return self._stuck(lk, "time" if left < LEAST_WAIT else "sends")
-        if (
-            kind.write and self.terms.may_bypass_caches
-        ):  # passes untouched: it runs at the origin and nothing is kept
-            target, source = (c.origins or [None])[0], None
+            return self._cannot_send(lookup, "time" if time_left < MIN_TIMEOUT else "sends")
+        if kind.write and self.terms.may_bypass_caches:  # it runs at the origin and leaves no copy
+            target, source = (control.origins or [None])[0], None
         else:
-            target, source = c.placing.pick(lk)
-        if target is None or not c.rules.admissible(lk, target):
-            return self._stuck(lk, "caches" if target is None else "effect")
-        via = source if target in c.edges else target
-        if source is not None and not kind.write and (lk.fill_refused or not c.windows.open(via, lk)):
-            if target not in c.edges:
-                return self._stuck(lk, "fills")
-            lk.hits_only = True  # one more fill would be late like those out; a hit would not
-            if not lk.fill_refused or not c.windows.open(via, lk):
-                source = target  # else what refused may hold it: its own source may be the one that is full
-        return self._send(lk, target, source, left)
+            target, source = control.placing.pick(lookup)
+        if target is None or not control.rules.admissible(lookup, target):
+            return self._cannot_send(lookup, "caches" if target is None else "effect")
+        upstream = source if target in control.edges else target
+        if (
+            source is not None
+            and not kind.write
+            and (lookup.fill_refused or not control.windows.admits(upstream, lookup))
+        ):
+            if target not in control.edges:
+                return self._cannot_send(lookup, "fills")
+            lookup.hits_only = True  # another fill would be late like those in flight; a hit would not
+            if not lookup.fill_refused or not control.windows.admits(upstream, lookup):
+                # Otherwise the source that refused is tried for a hit: what is full may be its own upstream.
+                source = target
+        return self._send(lookup, target, source, time_left)
 
-    def _stuck(self, lk, why):
-        lk.reason = why
-        return STUCK
+    def _cannot_send(self, lookup, reason):
+        lookup.reason = reason
+        return NO_SEND
 
-    def _send(self, lk, target, source, left):
-        c, kind, pairs = self.c, self.kinds[lk.kind_index], self.terms.may_duplicate
-        limit, cost, leave = c.times.deadline(lk), c.times.mean_work[lk.kind_index], c.rules.leaves_within(lk)
-        c.learning.spare -= lk.send_count > 0
-        first = lk.overruns == 0 and not kind.write and target not in c.origins
-        limited = first and limit < left and c.learning.spare >= 1
-        wait = limit if limited and not pairs else left
-        if limited and pairs:
-            c.set_alarm(limit, (lk.id, lk.send_count))
-        for n in {target, source} - {None}:
-            c.cold.spend(n, cost)
-            if c.fleet_view is not None:
-                c.fleet_view.sent(c.cache_ids[n], c.now, cost)
-        edge = target in c.edges
-        via = None if source is None or source == target else source if edge else target
-        sent = PendingSend(
-            target, source, via, lk.kind_index, lk.sending_time, c.now, limited, c.placing.calm(target)
+    def _send(self, lookup, target, source, time_left):
+        """Emits the send and records it; charges it to the retry budget and to cold caches."""
+        control, kind, may_duplicate = self.control, self.kinds[lookup.kind_index], self.terms.may_duplicate
+        attempt_timeout, cost, start_within = (
+            control.times.timeout(lookup),
+            control.times.mean_work[lookup.kind_index],
+            control.rules.start_within(lookup),
         )
-        # Where sizes are not told its budget is not known before its end.
-        c.begin_send(lk, sent, c.now + int(c.times.budget(sent)) if lk.sending_time else None)
-        if source is None or target in c.origins:
-            c.emit(interface.Ask(lk.id, c.cache_ids[target], wait, leave))
+        control.learning.retry_budget -= lookup.send_count > 0
+        may_retry_early = lookup.overruns == 0 and not kind.write and target not in control.origins
+        early_timeout = may_retry_early and attempt_timeout < time_left and control.learning.retry_budget >= 1
+        timeout = attempt_timeout if early_timeout and not may_duplicate else time_left
+        if early_timeout and may_duplicate:
+            control.set_alarm(attempt_timeout, (lookup.id, lookup.send_count))
+        for row in {target, source} - {None}:
+            control.cold.spend(row, cost)
+            if control.fleet_view is not None:
+                control.fleet_view.sent(control.cache_ids[row], control.now, cost)
+        edge = target in control.edges
+        upstream = None if source is None or source == target else source if edge else target
+        send = PendingSend(
+            target,
+            source,
+            upstream,
+            lookup.kind_index,
+            lookup.sending_time,
+            control.now,
+            early_timeout,
+            control.placing.is_idle(target),
+        )
+        # Without a known size the budget is known only when the send ends.
+        control.begin_send(
+            lookup, send, control.now + int(control.times.budget(send)) if lookup.sending_time else None
+        )
+        if source is None or target in control.origins:
+            control.emit(interface.Ask(lookup.id, control.cache_ids[target], timeout, start_within))
         else:
-            ids, oldest, held = (
-                (lk.id, c.cache_ids[target], c.cache_ids[source]),
-                c.purges.oldest(lk),
-                lk.hits_only,
+            ids, max_age, hits_only = (
+                (lookup.id, control.cache_ids[target], control.cache_ids[source]),
+                control.purges.max_age(lookup),
+                lookup.hits_only,
+            )
+            priority, join_fill = int(edge and not kind.write), self.terms.may_join_fills and not hits_only
+            revalidate = edge and upstream is not None and kind.fresh_duration > 0
+            control.emit(
+                interface.Obtain(
+                    *ids, timeout, max_age, priority, join_fill, hits_only, False, revalidate, start_within
+                )
             )
-            rank, joins = int(edge and not kind.write), self.terms.may_join_fills and not held
-            renews = edge and via is not None and kind.fresh_duration > 0
-            c.emit(interface.Obtain(*ids, wait, oldest, rank, joins, held, False, renews, leave))
         return SENT
 
-    def _give_up(self, lk):
-        """The final answer, at once: a nack with a time to come back where that is harmless."""
-        if self.c.copies.given(lk, 1):  # rather at the end of its budget than not at all
-            return self._settle(lk)
-        if self.c.rules.nackable(lk):
-            # Not all at once: clients nacked together would come back together.
-            stay_away = self.c.dice.randint(self.stay_away // 2, self.stay_away)
-            self.c.emit(interface.Nack(lk.id, stay_away, lk.reason))
+    def _give_up(self, lookup):
+        """Ends the lookup: from an own copy, else a nack if the client may safely retry, else a failure."""
+        if self.control.copies.try_answer(lookup, 1):  # better at the end of the budget than not at all
+            return self._settle(lookup)
+        if self.control.rules.nackable(lookup):
+            # Randomized: clients nacked together would otherwise retry together.
+            retry_after = self.control.rng.randint(self.max_retry_after // 2, self.max_retry_after)
+            self.control.emit(interface.Nack(lookup.id, retry_after, lookup.reason))
         else:
-            self.c.emit(interface.Fail(lk.id, lk.reason))
-        return self._settle(lk)
+            self.control.emit(interface.Fail(lookup.id, lookup.reason))
+        return self._settle(lookup)
 
-    def _settle(self, lk):
-        del self.c.pending_lookups[lk.id]
-        for number in range(lk.send_count if self.terms.may_cancel else 0):
-            if (lk.id, number) in self.c.pending_sends:
-                self.c.emit(interface.Cancel(lk.id, number))
+    def _settle(self, lookup):
+        """Forgets the lookup and cancels its sends in flight where that is allowed."""
+        del self.control.pending_lookups[lookup.id]
+        for number in range(lookup.send_count if self.terms.may_cancel else 0):
+            if (lookup.id, number) in self.control.pending_sends:
+                self.control.emit(interface.Cancel(lookup.id, number))
 
 
-# state, input -> next state, effect; an effect may hand back a further input.
+# (state, input) -> (next state, action); an action may return a further input.
 LOOKUP_TABLE = {
-    (NEW, ARRIVED): (PLACING, Lookups._place),
-    (PLACING, SENT): (OUT, Lookups._nothing),
-    (PLACING, AT_HAND): (ENDED, Lookups._settle),
-    (PLACING, STUCK): (ENDED, Lookups._give_up),
-    (OUT, FAILED): (PLACING, Lookups._place),
-    (OUT, OVERRUN): (PAIRING, Lookups._place),
-    (OUT, SETTLED): (ENDED, Lookups._settle),
-    (OUT, DUE): (ENDED, Lookups._give_up),
-    (PAIRING, SENT): (PAIR, Lookups._nothing),
-    (PAIRING, STUCK): (OUT, Lookups._nothing),
-    (PAIRING, AT_HAND): (ENDED, Lookups._settle),
-    (PAIR, FAILED): (OUT, Lookups._nothing),
-    (PAIR, OVERRUN): (PAIR, Lookups._nothing),
-    (PAIR, SETTLED): (ENDED, Lookups._settle),
-    (PAIR, DUE): (ENDED, Lookups._give_up),
+    (NEW, ARRIVED): (PLACING, Lookups._try_send),
+    (PLACING, SENT): (IN_FLIGHT, Lookups._no_effect),
+    (PLACING, ANSWERED): (ENDED, Lookups._settle),
+    (PLACING, NO_SEND): (ENDED, Lookups._give_up),
+    (IN_FLIGHT, FAILED): (PLACING, Lookups._try_send),
+    (IN_FLIGHT, OVERRUN): (DUPLICATING, Lookups._try_send),
+    (IN_FLIGHT, SETTLED): (ENDED, Lookups._settle),
+    (IN_FLIGHT, DUE): (ENDED, Lookups._give_up),
+    (DUPLICATING, SENT): (DUPLICATED, Lookups._no_effect),
+    (DUPLICATING, NO_SEND): (IN_FLIGHT, Lookups._no_effect),
+    (DUPLICATING, ANSWERED): (ENDED, Lookups._settle),
+    (DUPLICATED, FAILED): (IN_FLIGHT, Lookups._no_effect),
+    (DUPLICATED, OVERRUN): (DUPLICATED, Lookups._no_effect),
+    (DUPLICATED, SETTLED): (ENDED, Lookups._settle),
+    (DUPLICATED, DUE): (ENDED, Lookups._give_up),
 }
--- a/hookrouter/control/placing.py
+++ b/hookrouter/control/placing.py
@@ -1,65 +1,100 @@
-"""Placing: target and source of a send, by the hash that all routers share and by what is least busy."""
+"""Placement: target and source of a send, by a hash that all routers share and by the load of the caches."""
 
 from hashlib import blake2b
 
-PART_CANDIDATES = 2  # caches; the design's figure for parts. Beyond them nothing is kept of any name
-WHOLE_CANDIDATES = 1  # caches; the design's figure for whole objects
-LEAD = 2.0  # times busier must the top cache be before the next one is: every move costs a second copy
-IDLE_SHARE = 1.0  # of a cache's link, in sends at full pace: sends below that do not slow each other
-IDLE_LEAST = 2.0  # sends of this router out: fewer meet by chance and tell nothing of what others have out
-CLEARLY = 4.0  # times wider is the next parent's window: two cuts apart, which chance alone seldom makes
+PART_CANDIDATES = 2  # caches that may hold a part, as in the design; no others keep copies of it
+WHOLE_CANDIDATES = 1  # caches that may hold a whole object, as in the design
+# The first candidate must be this much busier than the next: a move costs a second copy.
+MOVE_LOAD_RATIO = 2.0
+IDLE_LOAD = 1.0  # full-rate answers on a cache's link: fewer do not slow each other
+# With fewer sends of this router in flight, differences are chance and say nothing about other routers.
+MIN_COUNTED_SENDS = 2.0
+# The next parent's window must be this many times wider: two cuts apart, which chance alone seldom causes.
+PARENT_WINDOW_RATIO = 4.0
 
 
 class Placing:
+    """Chooses the target and the source of each send."""
+
     def __init__(self, control, terms):
-        self.c, self.terms = control, terms
-        self.idle = IDLE_SHARE / terms.topology.zone_routers
+        self.control, self.terms = control, terms
+        self.idle_load = IDLE_LOAD / terms.topology.zone_routers
 
-    def rank(self, name, caches):
-        """Caches by the shared hash of a name with their ids: the same order on every router."""
-        ids = self.c.cache_ids
-        return sorted(caches, key=lambda n: blake2b((name + ids[n]).encode(), digest_size=8).digest())
+    def rank(self, placement_key, rows):
+        """Sorts caches by rendezvous hashing of the key with their ids: the same order on every router."""
+        ids = self.control.cache_ids
+        return sorted(
+            rows, key=lambda row: blake2b((placement_key + ids[row]).encode(), digest_size=8).digest()
+        )
 
-    def pick(self, lk):
-        """Target and source of the next send; no target where nothing is left to try."""
-        c, affords, usable, room = self.c, self.c.cold.affords, self.c.health.usable, self.c.windows.room
-        kind, cost = self.terms.kinds[lk.kind_index], c.times.mean_work[lk.kind_index]
+    def pick(self, lookup):
+        """Returns (target, source) of the next send; (None, None) if no cache is left to try."""
+        control, affords, usable, window_size = (
+            self.control,
+            self.control.cold.affords,
+            self.control.health.usable,
+            self.control.windows.size,
+        )
+        kind, cost = self.terms.kinds[lookup.kind_index], control.times.mean_work[lookup.kind_index]
         ranked = [
-            n for n in self.rank(lk.placement_key, c.edges) if n not in lk.tried_caches and affords(n, cost)
+            row
+            for row in self.rank(lookup.placement_key, control.edges)
+            if row not in lookup.tried_caches and affords(row, cost)
+        ]
+        # If only caches that are set aside remain, these are tried; not if healthy ones are merely busy.
+        healthy = [row for row in ranked if usable(row)] or [
+            row for row in ranked if not control.cold.presumed_dead[row]
+        ]
+        admitting = [
+            row for row in healthy[:PART_CANDIDATES] if kind.write or control.windows.admits(row, lookup)
         ]
-        # Where all that is left is set aside, that still beats nothing; not where well ones are busy.
-        well = [n for n in ranked if usable(n)] or [n for n in ranked if not c.cold.lost[n]]
-        fit = [n for n in well[:PART_CANDIDATES] if kind.write or c.windows.open(n, lk)]
-        if well and not fit:
-            return None, None  # whatever takes it would answer late, and make others late
-        parents = [n for n in self.rank(lk.placement_key, c.parents) if affords(n, cost)]
-        again = [] if lk.fill_refused else lk.tried_sources  # what refused a fetch may still hold the copy
-        parents.sort(key=lambda n: (not usable(n), n in again))  # stable: else the hash's order
-        # One slow parent is left for the next while its window is under a send and the other's clearly wider;
-        # where the links or the origin are narrow all windows are, and the hash's order holds.
-        if len(parents) > 1 and room[parents[0]] < min(1, room[parents[1]] / CLEARLY):
+        if healthy and not admitting:
+            return None, None  # any target would answer late and delay other lookups
+        parents = [row for row in self.rank(lookup.placement_key, control.parents) if affords(row, cost)]
+        retried = [] if lookup.fill_refused else lookup.tried_sources  # a source that refused may hold a copy
+        parents.sort(key=lambda row: (not usable(row), row in retried))  # stable: otherwise in hash order
+        # A slow parent is skipped while its window is under one send and the next parent's is clearly wider.
+        # Where links or the origin are the bottleneck, all windows are small and the hash order holds.
+        if len(parents) > 1 and window_size[parents[0]] < min(
+            1, window_size[parents[1]] / PARENT_WINDOW_RATIO
+        ):
             del parents[0]
-        source = ((parents if parents and usable(parents[0]) else c.origins or parents) or [None])[0]
-        if fit:
-            top = fit if kind.in_parts else fit[:WHOLE_CANDIDATES]
-            lead = LEAD if c.fleet_view is None else c.fleet_view.lead(lk.placement_key)
-            target = min(top, key=lambda n: self.load(n) * (1 if n == top[0] else lead))
+        source = ((parents if parents and usable(parents[0]) else control.origins or parents) or [None])[0]
+        if admitting:
+            candidates = admitting if kind.in_parts else admitting[:WHOLE_CANDIDATES]
+            load_ratio = (
+                MOVE_LOAD_RATIO
+                if control.fleet_view is None
+                else control.fleet_view.lead(lookup.placement_key)
+            )
+            target = min(
+                candidates, key=lambda row: self.load(row) * (1 if row == candidates[0] else load_ratio)
+            )
             return target, target if source is None else source
-        if (
-            self.terms.may_bypass_caches and source is not None and not lk.bypassed_caches
-        ):  # past the caches, once
-            lk.bypassed_caches = True
-            return source, (c.origins or [source])[0]  # as its own source a parent would fill nothing
+        if self.terms.may_bypass_caches and source is not None and not lookup.bypassed_caches:
+            lookup.bypassed_caches = True
+            return source, (control.origins or [source])[0]  # a parent that is its own source would not fill
         return None, None
 
-    def load(self, n):
-        """A cache not yet heard from counts as average, or it would draw all."""
-        c = self.c
-        if c.fleet_view is not None and (others := c.fleet_view.others(c.cache_ids[n], c.now)) is not None:
-            return max(IDLE_SHARE, c.in_flight[n] + others) / c.weight[n]  # all of it, no part guessed at
-        known = [] if c.last_answer_at[n] else [c.in_flight[m] for m in c.edges if c.last_answer_at[m]]
-        out = max(c.in_flight[n], sum(known) / max(1, len(known)))
-        return max(self.idle, max(IDLE_LEAST, out) / c.weight[n])
+    def load(self, row):
+        """Load of a cache relative to its weight. One that has not answered yet counts as average, or it
+        would attract all sends.
+        """
+        control = self.control
+        if (
+            control.fleet_view is not None
+            and (others := control.fleet_view.others(control.cache_ids[row], control.now)) is not None
+        ):
+            # The sends of all routers are known, so nothing is estimated.
+            return max(IDLE_LOAD, control.in_flight[row] + others) / control.weight[row]
+        known = (
+            []
+            if control.last_answer_at[row]
+            else [control.in_flight[other] for other in control.edges if control.last_answer_at[other]]
+        )
+        in_flight = max(control.in_flight[row], sum(known) / max(1, len(known)))
+        return max(self.idle_load, max(MIN_COUNTED_SENDS, in_flight) / control.weight[row])
 
-    def calm(self, n):
-        return self.c.in_flight[n] < self.idle * self.c.weight[n]
+    def is_idle(self, row):
+        """Whether the cache has so few sends in flight that they do not slow each other."""
+        return self.control.in_flight[row] < self.idle_load * self.control.weight[row]
--- a/hookrouter/control/purges.py
+++ b/hookrouter/control/purges.py
@@ -1,50 +1,57 @@
-"""Purges: what was told, and from it the age of a copy that will do."""
+"""Recorded purges, and from them the greatest age that a copy may have."""
 
 from math import inf
 
-PURGE_SLACK = 2  # units lost to rounding when a purge is told and when it is applied
+PURGE_SLACK = 2  # time units lost to rounding when a purge is announced and when it is applied
 
 
 class Purges:
-    def __init__(self, beliefs, terms, guard):
-        self.b, self.kinds, self.done = beliefs, terms.kinds, terms.purge_duration
-        self.guard = guard  # of fleet-wide purges, where these are on: which copies may answer
-        self.purged = {}  # object or group -> when purged, the newest news last
-
-    def told(self, name, made):
-        self.purged[name] = max(made, self.purged.pop(name, made))
-        for old in list(self.purged):  # oldest news first
-            if self.b.now - self.purged[old] <= 2 * self.done:
+    """Purges of objects and groups; guard: fleet-wide purges, None where they are off."""
+
+    def __init__(self, state, terms, guard):
+        self.state, self.kinds, self.purge_duration = state, terms.kinds, terms.purge_duration
+        self.guard = guard
+        self.purged = {}  # object or group -> time of its purge; in order of recording
+
+    def record(self, target, purged_at):
+        """Records a purge of an object or group, and forgets purges that have been applied everywhere."""
+        self.purged[target] = max(purged_at, self.purged.pop(target, purged_at))
+        for other in list(self.purged):
+            if self.state.now - self.purged[other] <= 2 * self.purge_duration:
                 break
-            del self.purged[old]  # no older copy is left anywhere
+            del self.purged[other]  # no older copy is left in any cache
 
-    def newest(self, lk):
-        return max(self.purged.get(lk.object, 0), self.purged.get(lk.group, 0))
+    def newest_purge(self, lookup):
+        """Time of the newest purge recorded for this object or its group, 0 if there is none."""
+        return max(self.purged.get(lookup.object, 0), self.purged.get(lookup.group, 0))
 
-    def oldest(self, lk):
-        """The age that will do. Never 0 for a purged object: that would mean any copy."""
-        kind, now = self.kinds[lk.kind_index], self.b.now
-        # Where no fill is to be had, a copy within the grace earns more than none.
+    def max_age(self, lookup):
+        """The greatest acceptable age of a copy; 0: any. Never 0 for a purged object."""
+        kind, now = self.kinds[lookup.kind_index], self.state.now
+        # Where no fill is possible, a copy within the stale grace is worth more than none.
         bounds = (
-            [kind.fresh_duration + kind.stale_grace * (lk.hits_only or lk.send_count > 1)]
+            [kind.fresh_duration + kind.stale_grace * (lookup.hits_only or lookup.send_count > 1)]
             if kind.fresh_duration
             else []
         )
-        for name in (lk.object, lk.group):
-            made = self.purged.get(name)
-            if made is not None and now - made <= 2 * self.done:
-                bounds.append(max(1, now - made - PURGE_SLACK))
+        for target in (lookup.object, lookup.group):
+            purged_at = self.purged.get(target)
+            if purged_at is not None and now - purged_at <= 2 * self.purge_duration:
+                bounds.append(max(1, now - purged_at - PURGE_SLACK))
         if self.guard is not None and not kind.write:
-            bounds.append(max(1, now - self.guarded(lk, first_send=lk.send_count == 1)))
+            bounds.append(max(1, now - self.earliest_allowed(lookup, first_send=lookup.send_count == 1)))
         return min(bounds, default=0)
 
-    def guarded(self, lk, first_send=False):
-        """No copy from before that may answer, by fleet-wide purges."""
+    def earliest_allowed(self, lookup, first_send=False):
+        """Earliest time at which a usable copy may have been made, by fleet-wide purges; inf: none is."""
         if self.guard is None:
             return 0
         if self.guard.shut():
             return inf
-        return self.guard.oldest(self.b.now, self.kinds[lk.kind_index].name, lk.object, lk.group, first_send)
+        return self.guard.oldest(
+            self.state.now, self.kinds[lookup.kind_index].name, lookup.object, lookup.group, first_send
+        )
 
     def fenced(self, kind):
+        """Whether fleet-wide purges forbid any answer of this kind now."""
         return self.guard is not None and not kind.write and self.guard.shut()
--- a/hookrouter/control/rules.py
+++ b/hookrouter/control/rules.py
@@ -1,34 +1,47 @@
-"""No effect twice: what may be sent once more, and what may be nacked, given what may have run."""
+"""Prevents double effects: which lookups may be sent again or nacked, given the sends that may have run."""
 
 from .. import interface
 
-MEMORY_MARGIN = 500  # 50 ms: a repeat must reach the group before it forgets
-SPARE = 200  # 20 ms between the last moment to leave and what forbids it
+DEDUP_MARGIN = 500  # 50 ms: a repeat must arrive before the caches forget the first send
+START_MARGIN = 200  # 20 ms between the latest start of a send and the moment that forbids it
 
 
 class Rules:
-    def __init__(self, beliefs, terms):
-        self.b, self.kinds, self.pairs = beliefs, terms.kinds, terms.may_duplicate
-        self.soon = min(terms.connect_timeout, max(SPARE, min(terms.drain_grace, terms.purge_grace) - SPARE))
-
-    def leaves_within(self, lk):
-        """So long may it wait to leave: by then what it names may drain, or its group forget the first."""
-        kind, now = self.kinds[lk.kind_index], self.b.now
-        firsts = () if kind.idempotency == interface.IDEMPOTENT else lk.possible_runs.values()
-        return min([self.soon, *(when + kind.dedup_duration - MEMORY_MARGIN - now for when, _ in firsts)])
-
-    def admissible(self, lk, target):
-        """May this lookup be sent there?"""
-        b, kind = self.b, self.kinds[lk.kind_index]
-        if not self.pairs and any((lk.id, number) in b.pending_sends for number in lk.possible_runs):
+    """Decides by object kind and by the runs that are possible so far."""
+
+    def __init__(self, state, terms):
+        self.state, self.kinds, self.may_duplicate = state, terms.kinds, terms.may_duplicate
+        self.max_start_delay = min(
+            terms.connect_timeout, max(START_MARGIN, min(terms.drain_grace, terms.purge_grace) - START_MARGIN)
+        )
+
+    def start_within(self, lookup):
+        """The time within which a send must start: later, a named cache may be draining or the caches may
+        have forgotten an earlier send.
+        """
+        kind, now = self.kinds[lookup.kind_index], self.state.now
+        runs = () if kind.idempotency == interface.IDEMPOTENT else lookup.possible_runs.values()
+        return min(
+            [self.max_start_delay, *(when + kind.dedup_duration - DEDUP_MARGIN - now for when, _ in runs)]
+        )
+
+    def admissible(self, lookup, target):
+        """Whether this lookup may be sent to this cache now."""
+        state, kind = self.state, self.kinds[lookup.kind_index]
+        if not self.may_duplicate and any(
+            (lookup.id, number) in state.pending_sends for number in lookup.possible_runs
+        ):
             return False
-        if not lk.possible_runs or kind.idempotency == interface.IDEMPOTENT:
+        if not lookup.possible_runs or kind.idempotency == interface.IDEMPOTENT:
             return True
-        group = {interface.SAME_ZONE: b.zone, interface.SAME_CELL: b.cell}.get(kind.dedup_scope)
-        same = group is None or all(group[first] == group[target] for _, first in lk.possible_runs.values())
-        return same and self.leaves_within(lk) > 0
+        column = {interface.SAME_ZONE: state.zone, interface.SAME_CELL: state.cell}.get(kind.dedup_scope)
+        same = column is None or all(
+            column[earlier] == column[target] for _, earlier in lookup.possible_runs.values()
+        )
+        return same and self.start_within(lookup) > 0
 
-    def nackable(self, lk):
-        kind = self.kinds[lk.kind_index]
+    def nackable(self, lookup):
+        """Whether a retry by the client cannot cause a double effect."""
+        kind = self.kinds[lookup.kind_index]
         everywhere = kind.idempotency == interface.DEDUPLICATED and kind.dedup_scope == interface.EVERYWHERE
-        return not lk.possible_runs or kind.idempotency == interface.IDEMPOTENT or everywhere
+        return not lookup.possible_runs or kind.idempotency == interface.IDEMPOTENT or everywhere
--- a/hookrouter/control/times.py
+++ b/hookrouter/control/times.py
@@ -1,34 +1,46 @@
-"""What answers take, by kind: the mean sending time, and average and deviation of what comes beyond it."""
+"""Answer times by object kind: mean sending time, and average and deviation of the latency beyond it."""
 
-TYPICAL = 0.5  # of the mean sending time, where sizes are not told: most lie well under a skewed mean
-FIRST_DEADLINE = 30_000  # the design's 3 s: the average and deviation begin so and give way to times seen
-LAST_DEADLINE = 100_000  # the design's 10 s, where backing off ends
-DEVIATIONS = 4  # deviations above the average: few sound parts are beyond (as TCP's timer has it)
-BLEND = 1 / 16  # weight of the newest time in an average: some seconds of one router's traffic
-LEAST_WAIT = 20  # 2 ms: less time than that cannot bring an answer
+# Of the mean sending time, for unknown sizes: the distribution is skewed, most are smaller.
+TYPICAL_SHARE = 0.5
+INITIAL_TIMEOUT = 30_000  # 3 s, as in the design, until times have been measured
+MAX_TIMEOUT = 100_000  # 10 s, as in the design: the end of backing off
+DEVIATIONS = 4  # above the average, as in TCP's retransmission timer: few answers take longer
+SMOOTHING = 1 / 16  # weight of the newest sample: averages span some seconds of one router's traffic
+MIN_TIMEOUT = 20  # 2 ms: no answer arrives in less
 
 
 class Times:
+    """Moving averages by index of the object kind; durations in tenths of a millisecond."""
+
     def __init__(self, kinds):
         self.kinds, self.mean_work = kinds, [float(kind.latency_budget) for kind in kinds]
-        # These begin as the first deadline and give way to what is seen: one quick hit tells little of fills.
+        # Initially the timeout is INITIAL_TIMEOUT and changes slowly: one quick hit says little about fills.
         self.average = [0.0] * len(kinds)
-        self.deviation = [FIRST_DEADLINE / DEVIATIONS] * len(kinds)
+        self.deviation = [INITIAL_TIMEOUT / DEVIATIONS] * len(kinds)
 
-    def took(self, k, over):
-        self.deviation[k] += BLEND * (abs(over - self.average[k]) - self.deviation[k])
-        self.average[k] += BLEND * (over - self.average[k])
+    def record_latency(self, kind_index, latency):
+        """Adds a sample of the time that an answer took beyond its sending time."""
+        self.deviation[kind_index] += SMOOTHING * (
+            abs(latency - self.average[kind_index]) - self.deviation[kind_index]
+        )
+        self.average[kind_index] += SMOOTHING * (latency - self.average[kind_index])
 
-    def worked(self, k, work):
-        self.mean_work[k] += BLEND * (work - self.mean_work[k])
+    def record_work(self, kind_index, work):
+        """Adds a sample of the sending time."""
+        self.mean_work[kind_index] += SMOOTHING * (work - self.mean_work[kind_index])
 
-    def budget(self, sent):
-        kind = self.kinds[sent.kind_index]
+    def budget(self, send):
+        """Latency budget of a send, by the size of its answer."""
+        kind = self.kinds[send.kind_index]
         return kind.latency_budget + kind.budget_stretch * (
-            sent.sending_time or TYPICAL * self.mean_work[sent.kind_index]
+            send.sending_time or TYPICAL_SHARE * self.mean_work[send.kind_index]
         )
 
-    def deadline(self, lk):
-        """When a part is late: the design's average and deviation, doubled with each overrun."""
-        limit = lk.sending_time + self.average[lk.kind_index] + DEVIATIONS * self.deviation[lk.kind_index]
-        return int(min(LAST_DEADLINE, max(LEAST_WAIT, limit) * 2**lk.overruns))
+    def timeout(self, lookup):
+        """Timeout of the next send of this lookup: average plus deviations, doubled with each overrun."""
+        timeout = (
+            lookup.sending_time
+            + self.average[lookup.kind_index]
+            + DEVIATIONS * self.deviation[lookup.kind_index]
+        )
+        return int(min(MAX_TIMEOUT, max(MIN_TIMEOUT, timeout) * 2**lookup.overruns))
--- a/hookrouter/fleet/member/spread.py
+++ b/hookrouter/fleet/member/spread.py
@@ -69,10 +69,14 @@
         health, posts = self.control.health, []
         for n in self.control.edges:
             # Once one send went well there it is found, though few go there yet.
-            aside = health.trickle[n] == 1
-            cold = -1 if self.control.cold.now(n) is None else max(0, wall - self.control.cold.born[n])
+            aside = health.slow_start_limit[n] == 1
+            cold = (
+                -1
+                if self.control.cold.limits_in_force(n) is None
+                else max(0, wall - self.control.cold.born[n])
+            )
             posts += self.spread.own(
-                now, self.control.cache_ids[n], aside, health.rest_until[n] if aside else None, cold
+                now, self.control.cache_ids[n], aside, health.paused_until[n] if aside else None, cold
             )
         self._post(posts + self.spread.tick(now, wall))
         if self.alone != self.spread.busy.alone(now):
--- a/hookrouter/fleet/member/warmed.py
+++ b/hookrouter/fleet/member/warmed.py
@@ -175,7 +175,7 @@
         )
         self.warmer.count("warming_fills")
         send = self.router.caches.send(
-            self.cache, errand, FILL_WITHIN / 10_000, self.router.control.rules.soon / 10_000
+            self.cache, errand, FILL_WITHIN / 10_000, self.router.control.rules.max_start_delay / 10_000
         )
         send.deferred.addCallback(self._ended, effect)
 
--- a/hookrouter/node/counters.py
+++ b/hookrouter/node/counters.py
@@ -92,7 +92,7 @@
     return {
         "sends_out": sum(len(lookup.running) for lookup in router.lookups.occupied()),
         "sends_believed_out": len(router.control.pending_sends),
-        "caches_set_aside": sum(trickle is not None for trickle in router.control.health.trickle),
+        "caches_set_aside": sum(trickle is not None for trickle in router.control.health.slow_start_limit),
         "caches_listed": len(router.caches.places),
         "lookups_held": len(router.by_call),
         "clients_held": len(router.front.connections),
@@ -103,5 +103,5 @@
         "half_frame_bytes_held": router.front.half_held,
         **(router.purges.held() if router.purges is not None else {}),
         "copies_held": len(router.copies),
-        "copy_bytes_held": router.control.copies.kept.bytes,
+        "copy_bytes_held": router.control.copies.stored.bytes,
     }
--- a/hookrouter/node/told.py
+++ b/hookrouter/node/told.py
@@ -44,8 +44,8 @@
             rows.append(
                 w.Soft(
                     name,
-                    min(1_000, self.health.strikes[n]),
-                    bool(self.cold.lost[n]),
+                    min(1_000, self.health.failures[n]),
+                    bool(self.cold.presumed_dead[n]),
                     took,
                     min(1.0, refused),
                     max(0, now - born) if born else -1,
@@ -54,7 +54,7 @@
             )
         kinds = [
             w.Times(name, max(0.0, self.times.average[k]), max(0.0, self.times.deviation[k]), 0)
-            for name, k in control.kinds.items()
+            for name, k in control.kind_indexes.items()
         ]
         return soft.Learnt(rows[: soft.MOST_CACHES], kinds[: soft.MOST_KINDS])
 
@@ -64,10 +64,10 @@
         for cache, strikes in adopted.strikes.items():
             n = control.row_by_id.get(cache)
             if n is not None:
-                self.health.strikes[n] = max(self.health.strikes[n], strikes)
+                self.health.failures[n] = max(self.health.failures[n], strikes)
                 self.tally.answers.setdefault(cache, [adopted.took[cache], adopted.refused[cache]])
         for kind, (average, deviation) in adopted.times.items():
-            k = control.kinds.get(kind)
+            k = control.kind_indexes.get(kind)
             if k is not None:
                 self.times.average[k] += HALF * (average - self.times.average[k])
                 self.times.deviation[k] += HALF * (deviation - self.times.deviation[k])
--- a/hookrouter/node/tracing.py
+++ b/hookrouter/node/tracing.py
@@ -1,7 +1,7 @@
 """The trace of one router: lines collected, written in blocks; off at the first fault of the disk."""
 
 from ..stores.trace_log import TraceLog
-from ..trace.rows import Recorder, header_of
+from ..trace.rows import Recorder, make_header
 
 BLOCK = 64_000  # bytes of lines that are compressed at once: some hundred decisions, under a millisecond
 EVERY = 1.0  # seconds that a line waits at most: what a crash costs
@@ -12,14 +12,14 @@
 
     def __init__(self, start, began, guarded, deadlines, log, count):
         self.deadlines, self.log, self.count = deadlines, log, count
-        self.recorder = Recorder(header_of(start.name, start.terms, began, start.seed, guarded))
+        self.recorder = Recorder(make_header(start.name, start.terms, began, start.seed, guarded))
         self.store = TraceLog(start.trace["folder"], start.name, start.trace["size"], self.recorder.header)
         self.next = None
 
     def decided(self, now, event, effects, control, ref):
         if self.store is None:
             return
-        self.recorder.decided(now, event, effects, control, ref)
+        self.recorder.record(now, event, effects, control, ref)
         if self.recorder.size >= BLOCK:
             self.write()
         elif self.next is None:
--- a/hookrouter/trace/__init__.py
+++ b/hookrouter/trace/__init__.py
@@ -1,4 +1,4 @@
-"""The trace of decisions: what a router was told, said and believed; read back and counted."""
+"""The trace of a router's decisions: inputs, effects and known load; recorded, read, replayed, counted."""
 
 from .account import Account
 from .replay import Replay
--- a/hookrouter/trace/replay.py
+++ b/hookrouter/trace/replay.py
@@ -1,4 +1,4 @@
-"""A router's decisions made again from its trace: by this build, or by another on the same events."""
+"""Repeats a router's decisions from its trace, to compare them with those of this build."""
 
 from .. import interface
 from ..control import Control
@@ -20,43 +20,47 @@
 
 
 class Replay:
-    """One life of one router. differences: (row, effects as they are now), so many of the first."""
+    """Replays one run of a router. differences: the first max_differences (row, effects of this build)."""
 
-    def __init__(self, header, make=Control, keep=20):
-        self.control = make(header.seed, terms_of(header.terms))
-        self.keep, self.rows, self.differences, self.different = keep, 0, [], 0
+    def __init__(self, header, control_class=Control, max_differences=20):
+        self.control = control_class(header.seed, terms_from(header.terms))
+        self.max_differences, self.rows, self.differences, self.different = max_differences, 0, [], 0
 
-    def take(self, row):
-        """Effects of this build for the event of that row."""
-        effects = self.control.decide(row.at, [event_of(row)])
+    def play(self, row):
+        """Returns the effects of this build for the row's event, and compares them with the recorded ones."""
+        effects = self.control.decide(row.at, [event_from(row)])
         self.rows += 1
-        if [[type(e).__name__, plain(e)] for e in effects] != [list(effect[:2]) for effect in row.effects]:
+        if [[type(effect).__name__, as_json(effect)] for effect in effects] != [
+            list(effect[:2]) for effect in row.effects
+        ]:
             self.different += 1
-            if len(self.differences) < self.keep:
+            if len(self.differences) < self.max_differences:
                 self.differences.append((row, effects))
         return effects
 
 
-def plain(value):
-    """As it comes back from JSON."""
-    return [plain(v) for v in value] if isinstance(value, (list, tuple)) else value
+def as_json(value):
+    """The value as JSON would return it: tuples become lists."""
+    return [as_json(item) for item in value] if isinstance(value, (list, tuple)) else value
 
 
-def frozen(value):
-    return tuple(map(frozen, value)) if isinstance(value, list) else value
+def as_tuples(value):
+    """The value with all lists replaced by tuples."""
+    return tuple(map(as_tuples, value)) if isinstance(value, list) else value
 
 
-def event_of(row):
-    """The event as the router was told it. KeyError, TypeError: of another version."""
-    kind, fields = EVENTS[row.event], map(frozen, row.fields)
+def event_from(row):
+    """The input of this row. KeyError or TypeError: it was written by another version."""
+    kind, fields = EVENTS[row.event], map(as_tuples, row.fields)
     if kind is interface.CacheList:
         mode, caches = fields
         return interface.CacheList(mode, tuple(interface.Cache(*cache) for cache in caches))
     return kind(*fields)
 
 
-def terms_of(values):
-    terms = interface.Terms(*map(frozen, values))
+def terms_from(values):
+    """interface.Terms from the fields in a Header."""
+    terms = interface.Terms(*map(as_tuples, values))
     return terms._replace(
         topology=interface.Topology(*terms.topology),
         kinds=tuple(interface.ObjectKind(*kind) for kind in terms.kinds),
--- a/hookrouter/trace/rows.py
+++ b/hookrouter/trace/rows.py
@@ -1,9 +1,10 @@
-"""One line a decision: its time, the input, the effects in order, and the belief about each send's caches.
+"""Lines of a trace, one for each decision: its time, the input, and the effects in order.
 
 A line is a JSON array, [time, input, its fields, effects, client's id]; an effect is [name, its fields,
-belief], and the belief of a send is [out at the target, its window, out at what feeds it, its window] as they
-stood after the decision; a window without a bound is null. Times are tenths of a millisecond of Unix time.
-The first line of each segment is a Header, an object.
+known load]. The known load of a send is [sends in flight to the target, its window, sends in flight to the
+parent or origin that feeds the fill, its window] after the decision, as this router knows them; an unlimited
+window is null. Times are tenths of a millisecond of Unix time. The first line of each segment is a Header, an
+object.
 """
 
 from typing import Any, NamedTuple
@@ -15,11 +16,11 @@
 from ..terms import SECOND
 
 SENDS = (interface.Ask, interface.Obtain)
-MOST_LINE = 1 << 20  # bytes: a whole list of some thousand caches has some hundred thousand
+MAX_LINE = 1 << 20  # bytes; a whole list of some thousand caches takes some hundred thousand
 
 
 class KindRow(msgspec.Struct, array_like=True):
-    """What of an object kind its account needs; see interface.ObjectKind."""
+    """The fields of interface.ObjectKind that an Account needs."""
 
     name: str
     latency_budget: int
@@ -30,28 +31,35 @@
 
 
 class Header(msgspec.Struct):
+    """Start of a run of a router."""
+
     router: str
     version: str
-    pace: float  # KB of one answer in a tenth of a millisecond, 0 where not told
+    pace: float  # KB of one answer in a tenth of a millisecond, 0 if unknown
     kinds: list[KindRow]
     began: int
     seed: int | str
-    terms: list  # interface.Terms, field by field: what a replay starts from
-    guarded: bool  # fleet-wide purges had a say that the trace does not hold
+    terms: list  # interface.Terms, field by field, for a replay
+    guarded: bool  # fleet-wide purges influenced decisions, and the trace does not contain them
 
 
 class Row(NamedTuple):
+    """One decision; at: its time."""
+
     at: int
     event: str
     fields: list
-    effects: list  # of [name, fields, belief or None]
-    ref: str | None  # the id that the client gave the lookup, on its arrival
+    effects: list  # of [name, fields, known load or None]
+    ref: str | None  # the client's id of the lookup, in the row of its arrival
 
 
-def header_of(name, terms, began, seed, guarded):
+def make_header(name, terms, began, seed, guarded):
+    """The Header of a run that began at this time with this seed."""
     kinds = [
-        KindRow(k.name, k.latency_budget, k.budget_stretch, k.deadline, k.utility, k.late_share)
-        for k in terms.kinds
+        KindRow(
+            kind.name, kind.latency_budget, kind.budget_stretch, kind.deadline, kind.utility, kind.late_share
+        )
+        for kind in terms.kinds
     ]
     return Header(
         name, __version__, terms.topology.answer_rate / SECOND, kinds, began, seed, list(terms), guarded
@@ -59,39 +67,41 @@
 
 
 class Recorder:
-    """Lines until they are fetched; nothing of a body or a key is in them."""
+    """Collects encoded lines until they are fetched; they contain no bodies and no deduplication keys."""
 
     def __init__(self, header):
         self.header = msgspec.json.encode(header) + b"\n"
         self.lines, self.size = [], 0
         self.encode = msgspec.json.Encoder(enc_hook=list).encode
 
-    def decided(self, now, event, effects, control, ref=None):
-        said = [
-            (type(effect).__name__, effect, belief(control, effect) if type(effect) in SENDS else None)
+    def record(self, now, event, effects, control, ref=None):
+        """Adds the line of a decision; ref: the client's id of a new lookup."""
+        written = [
+            (type(effect).__name__, effect, known_load(control, effect) if type(effect) in SENDS else None)
             for effect in effects
         ]
-        line = self.encode((now, type(event).__name__, event, said, ref))
+        line = self.encode((now, type(event).__name__, event, written, ref))
         self.lines.append(line)
         self.size += len(line) + 1
 
     def fetch(self):
-        """All lines since the last call, as one block of bytes."""
+        """Returns all lines since the last call as one block of bytes."""
         block = b"\n".join([*self.lines, b""])
         self.lines, self.size = [], 0
         return block
 
 
-def belief(control, effect):
-    n, source = control.row_by_id[effect.cache], getattr(effect, "source", None)
-    via = None
-    if source is not None:  # what feeds it: a parent or the origin that is the target itself
-        via = n if n not in control.edges else control.row_by_id[source]
+def known_load(control, effect):
+    """What the router knows of the load of a send's target and of what feeds its fill; see the module."""
+    target, source_id = control.row_by_id[effect.cache], getattr(effect, "source", None)
+    upstream = None
+    if source_id is not None:  # a target that is a parent or the origin feeds the fill itself
+        upstream = target if target not in control.edges else control.row_by_id[source_id]
     return (
-        control.in_flight[n],
-        control.windows.room[n],
-        None if via is None else control.in_flight[via],
-        None if via is None else control.windows.room[via],
+        control.in_flight[target],
+        control.windows.size[target],
+        None if upstream is None else control.in_flight[upstream],
+        None if upstream is None else control.windows.size[upstream],
     )
 
 
@@ -100,16 +110,18 @@
 
 
 def read_header(line):
+    """Parses the first line of a segment, or raises UnreadableTrace."""
     try:
         return decode_header(line)
-    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as wrong:
-        raise UnreadableTrace(f"no header of a trace: {wrong}") from None
+    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
+        raise UnreadableTrace(f"no header of a trace: {error}") from None
 
 
 def read_row(line):
-    if len(line) > MOST_LINE:
+    """Parses the line of a decision, or raises UnreadableTrace."""
+    if len(line) > MAX_LINE:
         raise UnreadableTrace(f"a line of {len(line)} bytes")
     try:
         return Row(*decode_row(line))
-    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as wrong:
-        raise UnreadableTrace(str(wrong)) from None
+    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
+        raise UnreadableTrace(str(error)) from None
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -142,7 +142,7 @@
             if not cold.affords(0, mean_work[kind]):
                 return
             cold.spend(0, mean_work[kind])
-            control.times.worked(kind, self.plan.kinds[kind][1])
+            control.times.record_work(kind, self.plan.kinds[kind][1])
             most -= 1
             yield self.plan.kinds[kind][1]
 
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -26,7 +26,9 @@
         self.caches = Caches(
             self.net, self.deadlines, self.room, most, terms(**more), self.noted.log, self.noted.count
         )
-        self.soon = Rules(None, terms(**more)).soon / SECOND  # what the module lets a first attempt wait
+        self.soon = (
+            Rules(None, terms(**more)).max_start_delay / SECOND
+        )  # what the module lets a first attempt wait
         for n in range(3):
             self.caches.learn(f"c{n}", ("127.0.0.1", 7000 + n), 0)
 
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -73,14 +73,14 @@
 
 class PurseFilledAtEachLook(Cold):
     def affords(self, n, cost):
-        self.turn[n] = -1
+        self.last_turn[n] = -1
         return super().affords(n, cost)
 
 
 class CountedByLocation(Cold):
-    def _terms(self, share, span, multiple, users):
+    def _limits(self, share, span, multiple, users):
         """A parent's turns as if one location alone sent to it."""
-        return super()._terms(share, span, multiple, self.top.zone_routers)
+        return super()._limits(share, span, multiple, self.topology.zone_routers)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -46,7 +46,7 @@
     assert {send.source for n in range(2, 8) for send in sends(control.decide(1_000_100, [lookup(n)]))} == {
         "o0"
     }
-    now = max(control.health.rest_until[n] for n in control.parents)
+    now = max(control.health.paused_until[n] for n in control.parents)
     assert sends(control.decide(now, [lookup(9, due=now + 4 * SECOND)]))[0].source in (
         "p0",
         "p1",
@@ -94,7 +94,7 @@
         now = NOW + step * 1000
         send = sends(control.decide(now, [lookup(step, due=now + SECOND)]))[0]
         control.decide(now, [ended(send, interface.SATISFIED)])
-    assert control.health.trickle[n] is None
+    assert control.health.slow_start_limit[n] is None
 
 
 def test_absurd_but_legal_inputs_raise_nothing():
@@ -122,10 +122,10 @@
         for send in sends(control.decide(NOW, [lookup(n)])):
             control.decide(NOW, [ended(send, interface.UNREACHED)])
     n = control.row_by_id["c0"]
-    assert control.cold.lost[n] and not control.health.usable(n)
+    assert control.cold.presumed_dead[n] and not control.health.usable(n)
     send = sends(control.decide(NOW + 2 * SECOND, [lookup(9, due=NOW + 5 * SECOND)]))[0]
     control.decide(NOW + 2 * SECOND, [ended(send, interface.SATISFIED)])
-    assert control.cold.now(n) and not control.cold.lost[n]
+    assert control.cold.limits_in_force(n) and not control.cold.presumed_dead[n]
 
 
 def test_time_outs_alone_do_not_make_a_cache_that_answers_cold():
@@ -133,15 +133,15 @@
     n = control.row_by_id["c0"]
     control.now, control.last_answer_at[n] = NOW, NOW - SECOND
     for _ in range(4):
-        control.learning.ended(
+        control.learning.on_send_end(
             sent_to(control, n), interface.SendEnd(1, 0, interface.LATE, 0, False, 9, "c0", None)
         )
-    assert control.health.trickle[n] is not None and not control.cold.lost[n]
+    assert control.health.slow_start_limit[n] is not None and not control.cold.presumed_dead[n]
     control.now = NOW + 5 * SECOND
-    control.learning.ended(
+    control.learning.on_send_end(
         sent_to(control, n), interface.SendEnd(1, 0, interface.LATE, 0, False, 9, "c0", None)
     )
-    assert control.cold.lost[n]
+    assert control.cold.presumed_dead[n]
 
 
 def sent_to(control, n):
@@ -171,10 +171,10 @@
     n = control.row_by_id["c0"]
     control.last_answer_at[n] = NOW + 1
     for _ in range(9):
-        control.learning.ended(
+        control.learning.on_send_end(
             sent_to(control, n), interface.SendEnd(1, 0, interface.LATE, 0, False, 9, "c0", None)
         )
-    assert control.health.trickle[n] is None
+    assert control.health.slow_start_limit[n] is None
 
 
 def test_after_a_refused_fill_the_next_send_is_for_what_the_parent_holds():
@@ -187,9 +187,9 @@
 
 def test_a_shut_window_of_one_parent_sends_its_fills_to_the_next_and_a_shut_gate_for_hits_only():
     control = router(note_level="none", topology=MANY)
-    control.windows.room[control.row_by_id["p0"]] = 0
+    control.windows.size[control.row_by_id["p0"]] = 0
     assert {sends(control.decide(NOW, [lookup(n)]))[0].source for n in range(1, 20)} == {"p1"}
-    control.windows.gate, control.windows.gate_from = 0.0, NOW
+    control.windows.gate, control.windows.gate_opens_from = 0.0, NOW
     late = [sends(control.decide(NOW, [lookup(n)]))[0] for n in range(20, 29)]
     assert all(s.source == s.cache for s in late)
 
@@ -229,7 +229,7 @@
 def test_a_gate_that_is_nearly_shut_lets_some_fills_through_and_not_all():
     control = crowded(200, 25, note_level="none")
     for _ in range(30):
-        control.windows.turn(True)
+        control.windows.adjust_gate(True)
     assert 0 < control.windows.gate < 0.1
     filled = 0
     for n in range(200):
@@ -244,7 +244,7 @@
     for n in range(1, 4):
         first = sends(control.decide(NOW, [lookup(n)]))[0]
         control.decide(NOW, [ended(first, interface.FULL)])
-        seen.append(control.windows.room[control.row_by_id["p0"]])
+        seen.append(control.windows.size[control.row_by_id["p0"]])
     assert seen[0] > seen[1] > seen[2]
 
 
@@ -311,14 +311,14 @@
 def test_sends_unanswered_at_a_cache_that_answers_others_in_time_do_not_cut_its_window():
     control = router([cache("c0"), FLEET[-1]])
     n, late = control.row_by_id["c0"], interface.SendEnd(1, 0, interface.LATE, 0, False, 9, "c0", None)
-    control.now, control.last_answer_at[n], control.windows.room[n] = NOW, NOW + 1, 9.0
-    control.learning.ended(sent_to(control, n), late)
-    assert control.windows.room[n] == 9.0
-    control.learning.ended(
+    control.now, control.last_answer_at[n], control.windows.size[n] = NOW, NOW + 1, 9.0
+    control.learning.on_send_end(sent_to(control, n), late)
+    assert control.windows.size[n] == 9.0
+    control.learning.on_send_end(
         sent_to(control, n), late._replace(outcome=interface.SATISFIED, duration=3 * SECOND)
     )  # a crowd: others are late too
-    control.learning.ended(sent_to(control, n), late)
-    assert control.windows.room[n] < 5.0
+    control.learning.on_send_end(sent_to(control, n), late)
+    assert control.windows.size[n] < 5.0
 
 
 # ---- copies of the router's own
@@ -328,40 +328,40 @@
     """Seen on sockets: a quarter of the answers of three caches never came, hits too, and all fills were rationed."""
     control = router(note_level="none")
     c0, p0 = control.row_by_id["c0"], control.row_by_id["p0"]
-    control.last_answer_at[c0], control.windows.room[p0] = 2_000_000, 10.0
-    lost = lambda via: control.learning.ended(  # noqa: E731
+    control.last_answer_at[c0], control.windows.size[p0] = 2_000_000, 10.0
+    lost = lambda via: control.learning.on_send_end(  # noqa: E731
         PendingSend(c0, p0 if via else c0, p0 if via else None, 0, 100, 1_000_000, True, True),
         interface.SendEnd(1, 0, interface.LATE, 0, False, 9_000, "c0", None),
     )
     lost(True)
-    assert control.windows.room[p0] == 5.0 and control.health.strikes[p0] == 1  # it may be the source
+    assert control.windows.size[p0] == 5.0 and control.health.failures[p0] == 1  # it may be the source
     for _ in range(2):
         lost(False)
-    room, strikes, average = control.windows.room[p0], control.health.strikes[p0], control.times.average[0]
+    room, strikes, average = control.windows.size[p0], control.health.failures[p0], control.times.average[0]
     lost(True)
-    assert (control.windows.room[p0], control.health.strikes[p0], control.times.average[0]) == (
+    assert (control.windows.size[p0], control.health.failures[p0], control.times.average[0]) == (
         room,
         strikes,
         average,
     )
     for _ in range(60):  # what needs no source comes again
-        control.learning.ended(
+        control.learning.on_send_end(
             PendingSend(c0, c0, None, 0, 100, 1_000_000, True, True),
             interface.SendEnd(1, 0, interface.MISSING, 0, False, 9, "c0", None),
         )
     lost(True)
-    assert control.windows.room[p0] < room
+    assert control.windows.size[p0] < room
 
 
 def test_a_write_lost_at_an_origin_that_answers_others_tells_of_loss_before_any_window_is_shut():
     control = router(note_level="none")
     c0, p0, o0 = (control.row_by_id[name] for name in ("c0", "p0", "o0"))
     control.last_answer_at[c0] = control.last_answer_at[o0] = 2_000_000
-    control.windows.room[p0] = 10.0
+    control.windows.size[p0] = 10.0
     late = lambda cache: interface.SendEnd(1, 0, interface.LATE, 0, False, 9_000, cache, None)  # noqa: E731
-    control.learning.ended(PendingSend(o0, None, None, 2, 0, 1_000_000, False, True), late("o0"))
-    control.learning.ended(PendingSend(c0, p0, p0, 0, 100, 1_000_000, True, True), late("c0"))
-    assert control.windows.room[p0] == 10.0 and control.health.strikes[p0] == 0
+    control.learning.on_send_end(PendingSend(o0, None, None, 2, 0, 1_000_000, False, True), late("o0"))
+    control.learning.on_send_end(PendingSend(c0, p0, p0, 0, 100, 1_000_000, True, True), late("c0"))
+    assert control.windows.size[p0] == 10.0 and control.health.failures[p0] == 0
 
 
 # ---- crowds: a burst of many routers, each of which sees little
@@ -398,22 +398,22 @@
 def test_a_gate_opens_by_time_once_it_is_quiet_whatever_this_router_sends():
     control = crowded(200, 25, note_level="none")
     for _ in range(30):
-        control.windows.turn(True)
+        control.windows.adjust_gate(True)
     control.now = NOW + SECOND
-    assert control.windows.share() < 0.1  # what was cut has to show first
+    assert control.windows.fill_share() < 0.1  # what was cut has to show first
     control.now = NOW + 5 * SECOND
-    assert control.windows.share() == 2 * control.windows.gate
+    assert control.windows.fill_share() == 2 * control.windows.gate
     control.now = NOW + 16 * SECOND
-    assert control.windows.share() == 1.0
+    assert control.windows.fill_share() == 1.0
 
 
 def test_no_lookup_is_repeated_in_a_crowd_but_for_what_a_parent_holds_and_no_source_is_blamed():
     control = router(note_level="none")
-    control.windows.gate, control.windows.gate_from = 0.4, NOW
+    control.windows.gate, control.windows.gate_opens_from = 0.4, NOW
     held = [sends(control.decide(NOW, [lookup(n, size=1)]))[0] for n in range(1, 12)]
     send = next(send for send in held if send.source != send.cache)
     assert isinstance(control.decide(NOW, [ended(send, interface.ERRED)])[0], interface.Nack)
-    assert not any(control.health.strikes[n] for n in control.parents)
+    assert not any(control.health.failures[n] for n in control.parents)
     refused = next(other for other in held if other.source != other.cache and other is not send)
     again = sends(control.decide(NOW, [ended(refused, interface.FULL)]))
     assert not again or again[0].hits_only
@@ -423,7 +423,7 @@
     control = router()
     first = control.placing.rank("k1|0|", control.edges)
     for n in first[:2]:
-        control.windows.room[n] = 0.0
+        control.windows.size[n] = 0.0
     assert isinstance(control.decide(NOW, [lookup(1)])[-1], interface.Nack)
     for n in first[:2]:
         control.health.set_aside(n)  # sick, not busy: the next two stand in
@@ -439,7 +439,7 @@
         control.times.mean_work[0] = 4_000.0
         control.windows.gate = 0.3
         for n in range(100):
-            control.now = control.windows.gate_from = NOW
+            control.now = control.windows.gate_opens_from = NOW
             send = sends(control.decide(NOW, [lookup(n, key=f"o{n}", size=size)]))
             taken[size] += bool(send) and send[0].source != send[0].cache
             for s in send:
--- a/tests/test_loss.py
+++ b/tests/test_loss.py
@@ -33,7 +33,10 @@
     for seed in (1, 2, 3):
         world = World(seed, crowd=[(4, 10, 2.0)], span=14)
         seen = []
-        world.look = lambda w=world, s=seen, look=world.look: (s.append(w.control.learning.stray()), look())
+        world.look = lambda w=world, s=seen, look=world.look: (
+            s.append(w.control.learning.answers_lost()),
+            look(),
+        )
         world.engine.after(0, world.look)
         world.run()
         assert not any(seen)
--- a/tests/test_own_copies.py
+++ b/tests/test_own_copies.py
@@ -12,7 +12,7 @@
 
 def keeping(control, now=1_000_000, made=990_000, size=5_000, **more):
     """One lookup satisfied by a cache that tells when the origin gave the copy out; what the router said to it."""
-    lk = lookup(len(control.copies.kept.copies) + 1, due=now + 4 * SECOND, **more)
+    lk = lookup(len(control.copies.stored.copies) + 1, due=now + 4 * SECOND, **more)
     first = sends(control.decide(now, [lk]))[0]
     return control.decide(now + 100, [ended(first, interface.SATISFIED, copy=(made, size))])
 
@@ -51,11 +51,11 @@
     keeping(control, key="k", group=7)
     first = sends(asked(control, 1_000_200, 50, key="k", part=1, group=7))[0]
     assert interface.Drop("clip", "k", 0) in control.decide(1_000_300, [purge])
-    assert sends(asked(control, 1_000_400, key="k", group=7)) and control.copies.kept.bytes == 0
+    assert sends(asked(control, 1_000_400, key="k", group=7)) and control.copies.stored.bytes == 0
     assert control.decide(1_000_500, [ended(first, interface.SATISFIED, copy=(1_000_199, 5_000))])[:1] != [
         interface.Keep(50, 0)
     ]
-    assert not control.copies.kept.copies
+    assert not control.copies.stored.copies
     assert interface.Keep(1, 0) in keeping(control, 1_000_600, made=1_000_350, key="k", group=7)
 
 
@@ -63,13 +63,13 @@
     control = router(**OWN)
     for n in range(20):
         keeping(control, key=f"k{n}")
-    assert control.copies.kept.bytes == 100_000
+    assert control.copies.stored.bytes == 100_000
     assert given(asked(control, 1_010_000, key="k0"))
     dropped = keeping(control, key="k20")
     assert (
         interface.Drop("clip", "k1", 0) in dropped
-        and ("clip", "k0", 0) in control.copies.kept.copies
-        and control.copies.kept.bytes == 100_000
+        and ("clip", "k0", 0) in control.copies.stored.copies
+        and control.copies.stored.bytes == 100_000
     )
     assert not any(
         isinstance(e, interface.Keep) for e in keeping(control, key="huge", size=7_000)
@@ -103,9 +103,9 @@
 def test_where_no_cache_is_left_an_own_copy_may_take_the_whole_budget():
     control = router(**OWN)
     keeping(control, key="k")
-    control.copies.free = 1_010_000 + 4_000  # its link is taken for most of the budget
+    control.copies.link_free_at = 1_010_000 + 4_000  # its link is taken for most of the budget
     assert sends(asked(control, 1_010_000, 98, key="k"))
     control.decide(1_010_001, [interface.CacheList(interface.WHOLE, ())])
     assert given(asked(control, 1_010_001, key="k"))
-    control.copies.free = 1_010_001 + 9 * SECOND
+    control.copies.link_free_at = 1_010_001 + 9 * SECOND
     assert isinstance(asked(control, 1_010_002, 97, key="k")[-1], interface.Nack)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -118,7 +118,7 @@
     def __init__(self, *stated):
         super().__init__(*stated)
         self.rules.admissible = self.rules.nackable = self.cold.affords = lambda *asked: True
-        self.purges.oldest = lambda lk: 0
+        self.purges.max_age = lambda lookup: 0
 
     def decide(self, now, inputs):
         return super().decide(
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -228,17 +228,17 @@
     lender, starter = told(router()), told(router())
     n = lender.control.row_by_id["c1"]
     lender.control.last_answer_at[n] = 900_000
-    lender.health.strikes[n], lender.times.average[0], lender.times.deviation[0] = 900, 400.0, 100.0
+    lender.health.failures[n], lender.times.average[0], lender.times.deviation[0] = 900, 400.0, 100.0
     before = list(starter.times.deviation)
     learnt = msgspec.msgpack.decode(msgspec.msgpack.encode(lender.learnt()), type=soft.Learnt)
     assert starter.adopt([learnt]) == 1 + len(learnt.kinds)
-    assert starter.health.strikes[starter.control.row_by_id["c1"]] == 2
+    assert starter.health.failures[starter.control.row_by_id["c1"]] == 2
     assert starter.health.usable(starter.control.row_by_id["c1"])
     assert starter.times.average[0] == 200.0 and starter.times.deviation[0] == (before[0] + 100.0) / 2
     honest = soft.Learnt([w.Soft("c1", 0, False, 1.0, 0.0, -1, 0)], [])
     other = told(router())
     other.adopt([learnt, honest])  # of two the lower count holds
-    assert other.health.strikes[other.control.row_by_id["c1"]] == 0
+    assert other.health.failures[other.control.row_by_id["c1"]] == 0
 
 
 @pytest.mark.parametrize(
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -66,7 +66,7 @@
 
 def test_control_heeds_what_is_told_and_goes_on_alone_when_it_ends():
     made = spread()
-    control = Control(1, terms(), told=made)
+    control = Control(1, terms(), fleet_view=made)
     control.decide(NOW, [interface.CacheList(interface.REMEMBERED, tuple(cache(f"c{n}") for n in range(4)))])
     assert made.others("c0", NOW) is None
     for n in range(4):
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -20,7 +20,7 @@
     """
     control = router(HANDFUL, note_level="none", topology=terms().topology._replace(routers=routers))
     p0 = control.row_by_id["p0"]
-    control.windows.room[p0] = before = 20.0
+    control.windows.size[p0] = before = 20.0
     first = [asked(control, NOW, n) for n in range(1, 5)]
     control.decide(
         NOW + 50 * MS, [ended(first[0], interface.SATISFIED, took=50 * MS)]
@@ -31,20 +31,20 @@
         at = NOW + 2 * SECOND
         control.decide(at, [ended(send, interface.SATISFIED, took=at - NOW) for send in first[1:] + later])
     if routers == 3:
-        assert control.windows.room[p0] > before / 2
+        assert control.windows.size[p0] > before / 2
     else:
-        assert control.windows.room[p0] < before / 4
+        assert control.windows.size[p0] < before / 4
 
 
 def test_sends_late_beside_answers_of_their_cache_still_cut_the_window_of_their_source():
     control = router(HANDFUL, note_level="none")
-    p0 = control.windows.room[control.row_by_id["p0"]] = 20.0
+    p0 = control.windows.size[control.row_by_id["p0"]] = 20.0
     first = [asked(control, NOW, n) for n in range(1, 5)]
     for n in range(5, 12):  # hits go on
         hit = asked(control, NOW + n * 50 * MS, n)
         control.decide(NOW + n * 50 * MS + 9, [ended(hit, interface.SATISFIED, took=9)])
     control.decide(NOW + 590 * MS, [])
-    assert first and control.windows.room[control.row_by_id["p0"]] < p0 / 4
+    assert first and control.windows.size[control.row_by_id["p0"]] < p0 / 4
 
 
 @pytest.mark.parametrize(
@@ -57,5 +57,5 @@
     control = router(note_level=notes, topology=terms().topology._replace(routers=routers))
     control.now = NOW
     for _ in range(9):
-        control.windows.turn(True)
-    assert control.windows.crowd() == gated
+        control.windows.adjust_gate(True)
+    assert control.windows.overloaded() == gated
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -40,7 +40,7 @@
 
 
 def beside(told, fleet=FLEET, **more):
-    control = Control(1, terms(**more), told=told)
+    control = Control(1, terms(**more), fleet_view=told)
     control.decide(NOW, [interface.CacheList(interface.REMEMBERED, tuple(fleet))])
     return control
 
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -16,7 +16,7 @@
 from hookrouter.node.tracing import BLOCK
 from hookrouter.stores.trace_log import SEGMENTS, TraceLog, lines, segments
 from hookrouter.trace import Account, Replay, Row, UnreadableTrace, read_header, read_row
-from hookrouter.trace.rows import MOST_LINE, Header, KindRow, belief
+from hookrouter.trace.rows import MAX_LINE, Header, KindRow, known_load
 
 
 def traced(folder):
@@ -55,7 +55,7 @@
 def test_what_was_decided_is_read_back_and_made_again_by_the_same_build(tmp_path):
     s = traced(tmp_path)
     busy(s, 200)
-    assert s.router.trace.recorder.size < BLOCK + MOST_LINE  # what waits for the disk is bounded
+    assert s.router.trace.recorder.size < BLOCK + MAX_LINE  # what waits for the disk is bounded
     s.router.trace.close()
     ((header, rows),) = read(tmp_path)
     assert (
@@ -66,12 +66,12 @@
     assert all(row.ref for row in rows if row.event == "Lookup")
     replay = Replay(header)
     for row in rows:
-        replay.take(row)
+        replay.play(row)
     assert replay.rows == len(rows) and replay.different == 0
     header.seed = "other"
     other = Replay(header)
     for row in rows:
-        other.take(row)
+        other.play(row)
     assert other.different > 0 and other.differences  # a nack's time to come back is drawn
 
 
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize(
-    "line", [b"", b"{}", b"[1]", b"[1,2,3,4,5]", b"\xff", b"[" * 90_000, b"9" * (MOST_LINE + 1)]
+    "line", [b"", b"{}", b"[1]", b"[1,2,3,4,5]", b"\xff", b"[" * 90_000, b"9" * (MAX_LINE + 1)]
 )
 def test_lines_that_are_none_are_refused(line):
     for reader in (read_row, read_header):
@@ -148,7 +148,7 @@
             ]
             for e in effects
         ]
-        account.take(router, Row(at, type(event).__name__, list(event), said, "ref"))
+        account.add(router, Row(at, type(event).__name__, list(event), said, "ref"))
 
 
 def ask_of(n, cache="c0", source="p0", held=False):
@@ -187,12 +187,16 @@
         ],
     )
     account.begin(HEADER)  # the router was started anew: the ninth has no end
-    ends = [(end.outcome, account.cause(end)) for end in account.ends]
+    ends = [(end.outcome, account.cause(end)) for end in account.ended_lookups]
     assert ("late", "its fill, others there were quick") in ends and ("open", "router ended") in ends
     assert ("in budget", "own copy") in ends and ends.count(("nacked", "fills")) == 2
-    assert [e.outcome for e in account.ends].count("late") == 1 and account.by_kind()["clip"][0] == 10
+    assert [e.outcome for e in account.ended_lookups].count("late") == 1 and account.by_kind()["clip"][
+        0
+    ] == 10
     assert account.skipped == 0 and account.sends()["held", "satisfied"] == (1, 500)
-    assert sum(count for _, count, *_ in account.by_second()) == 10 and not any(account.at_cache.values())
+    assert sum(count for _, count, *_ in account.by_second()) == 10 and not any(
+        account.in_flight_by_cache.values()
+    )
     assert account.lost()[0][0] == ("clip", "nacked", "fills") and account.lost()[0][1] == 2
     assert account.sends()["held", "missing"] == (1, 10)
 
@@ -220,16 +224,16 @@
         and largest == pytest.approx(0.5 / 0.9)
         and after == pytest.approx(0.75 / 0.9)
     )
-    account.ends = [end._replace(size=0.0) for end in account.ends]
+    account.ended_lookups = [end._replace(size=0.0) for end in account.ended_lookups]
     assert account.by_size() == {}
 
 
 def test_rows_of_another_version_are_left_out_and_the_rest_counts():
     account = Account()
     account.begin(HEADER)
-    account.take("r1", Row(1, "Lookup", [1], [], None))
-    account.take("r1", Row(1, "Unheard", [], [["Obtain", [], None]], None))
-    assert account.skipped == 2 and not account.ends
+    account.add("r1", Row(1, "Lookup", [1], [], None))
+    account.add("r1", Row(1, "Unheard", [], [["Obtain", [], None]], None))
+    assert account.skipped == 2 and not account.ended_lookups
 
 
 def test_the_commands_follow_a_lookup_and_account_for_a_trace(tmp_path, capsys):
@@ -273,5 +277,5 @@
     control = Control(1, terms())
     control.decide(1_000_000, [interface.CacheList(interface.REMEMBERED, (*CACHES, cache_of("c5")))])
     send = sends(control.decide(1_000_000, [lookup(1)]))[0]
-    out, room, feeding, _ = belief(control, send)
+    out, room, feeding, _ = known_load(control, send)
     assert (out, feeding) == (1, 1) and room == float("inf")
