--- a/hookrouter/control/cold.py
+++ b/hookrouter/control/cold.py
@@ -37,8 +37,8 @@
         )
 
     def _limits(self, share, duration, multiple, sharing_routers):
-        """Returns (share of capacity at the start, time to full capacity, turns per time unit at full capacity,
-        turns for which a turn stays open).
+        """Returns (share of capacity at the start, time to full capacity, turns per time unit at full
+        capacity, turns for which a turn stays open).
         """
         # A router's share may be under one lookup, so work is released in turns, which lapse if unused.
         turns = self.routers / (sharing_routers * self.turn_work)
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,4 +1,4 @@
-"""A small made-up fleet, the plain model of the five rules, and the network in memory."""
+"""A small fleet for tests of decisions, a simple model of the rules to keep, and an in-memory network."""
 
 from twisted.internet.error import ConnectionDone, ConnectionRefusedError, NotConnectingError
 from twisted.internet.task import Clock
@@ -15,7 +15,7 @@
 
 
 def kind(name, idempotency=interface.IDEMPOTENT, **more):
-    row = dict(
+    fields = dict(
         name=name,
         latency_budget=5_000,
         budget_stretch=2.0,
@@ -31,7 +31,7 @@
         in_parts=False,
         write=False,
     )
-    return interface.ObjectKind(**{**row, **more})
+    return interface.ObjectKind(**{**fields, **more})
 
 
 KINDS = (
@@ -44,7 +44,7 @@
 
 
 def terms(**more):
-    top = interface.Topology(
+    topology = interface.Topology(
         number=0,
         routers=2,
         zone="edge",
@@ -57,8 +57,8 @@
         siblings=interface.OWN_LOCATION,
         answer_rate=5000.0,
     )
-    row = dict(
-        topology=top,
+    fields = dict(
+        topology=topology,
         kinds=KINDS,
         must_subscribe=False,
         max_sends=6,
@@ -90,7 +90,7 @@
         origin_overload_duration=0,
         tick=20,
     )
-    return interface.Terms(**{**row, **more})
+    return interface.Terms(**{**fields, **more})
 
 
 def cache(name, phase=interface.READY, born=0, machine_type="box"):
@@ -132,17 +132,17 @@
     )
 
 
-def ended(send, end, number=0, settled=None, note=0, took=100, copy=None):
+def send_end(send, outcome, number=0, settled=None, copy_status=0, duration=100, copy=None):
     return interface.SendEnd(
         id=send.id,
         send=number,
-        outcome=end,
-        copy_status=note,
-        duration=took,
+        outcome=outcome,
+        copy_status=copy_status,
+        duration=duration,
         cache=send.cache,
         report=None,
         copy=copy,
-        settled=end == interface.SATISFIED if settled is None else settled,
+        settled=outcome == interface.SATISFIED if settled is None else settled,
     )
 
 
@@ -151,142 +151,164 @@
 
 
 class Model:
-    """The five rules, told the same inputs and shown the effects; written to be plain, not fast."""
+    """Checks the rules on the same inputs and effects as the router; simple rather than fast."""
 
     def __init__(self, terms):
-        self.terms, self.kinds = terms, {k.name: k for k in terms.kinds}
-        self.caches, self.unfit, self.lookups, self.purges, self.cold = {}, {}, {}, [], []
+        self.terms, self.kinds = terms, {kind.name: kind for kind in terms.kinds}
+        self.caches, self.unavailable_since, self.lookups, self.purges, self.cold_work = {}, {}, {}, [], []
 
-    def told(self, now, event):
+    def observe(self, now, event):
         if isinstance(event, interface.CacheList) and event.mode != interface.UNANSWERED:
             if event.mode != interface.CHANGES:
                 for name in self.caches:
-                    self.unfit.setdefault(name, now)
-            for c in event.caches:
-                self.caches[c.id] = c
-                if c.phase == interface.READY:
-                    self.unfit.pop(c.id, None)
+                    self.unavailable_since.setdefault(name, now)
+            for cache in event.caches:
+                self.caches[cache.id] = cache
+                if cache.phase == interface.READY:
+                    self.unavailable_since.pop(cache.id, None)
                 else:
-                    self.unfit.setdefault(c.id, now)
+                    self.unavailable_since.setdefault(cache.id, now)
         elif isinstance(event, interface.Lookup):
             self.lookups[event.id] = {"lookup": event, "answered": False, "sends": []}
         elif isinstance(event, interface.SendEnd):
-            held = self.lookups[event.id]
-            held["sends"][event.send]["end"] = event.outcome
-            held["answered"] |= event.settled
+            entry = self.lookups[event.id]
+            entry["sends"][event.send]["end"] = event.outcome
+            entry["answered"] |= event.settled
         elif isinstance(event, interface.ClientGone):
             self.lookups[event.id]["answered"] = True
         elif isinstance(event, interface.Purged):
             self.purges.append((now, now - event.age, event))
 
-    def shown(self, now, effect):
-        """The rule that this effect breaks, or None."""
+    def violation(self, now, effect):
+        """The rule that this effect violates, or None."""
         if isinstance(effect, (interface.Nack, interface.Fail)):
-            held = self.lookups[effect.id]
-            again, held["answered"] = held["answered"], True
-            if again:
+            entry = self.lookups[effect.id]
+            was_answered, entry["answered"] = entry["answered"], True
+            if was_answered:
                 return "answered twice"
             return (
                 "nacked what may have run"
-                if isinstance(effect, interface.Nack) and self.risky_nack(held)
+                if isinstance(effect, interface.Nack) and self.unsafe_nack(entry)
                 else None
             )
         if not isinstance(effect, (interface.Ask, interface.Obtain)):
             return None
-        held = self.lookups[effect.id]
-        broken = (
-            self.answer(now, held)
-            or self.repeat(now, held, effect)
-            or self.drain(now, effect)
-            or self.purge(now, held, effect)
-            or self.warm(now, held, effect)
+        entry = self.lookups[effect.id]
+        violation = (
+            self.check_answered(now, entry)
+            or self.check_repeat(now, entry, effect)
+            or self.check_draining(now, effect)
+            or self.check_purge(now, entry, effect)
+            or self.check_cold(now, entry, effect)
         )
-        held["sends"].append({"at": now, "cache": effect.cache, "end": None})
-        return broken
+        entry["sends"].append({"at": now, "cache": effect.cache, "end": None})
+        return violation
 
-    def answer(self, now, held):
-        return "sent after the answer" if held["answered"] else None
+    def check_answered(self, now, entry):
+        return "sent after the answer" if entry["answered"] else None
 
-    def doubts(self, held):
-        return [s for s in held["sends"] if s["end"] not in interface.NEVER_RAN]
+    def possible_runs(self, entry):
+        return [send for send in entry["sends"] if send["end"] not in interface.NEVER_RAN]
 
-    def risky_nack(self, held):
-        k = self.kinds[held["lookup"].kind]
+    def unsafe_nack(self, entry):
+        kind = self.kinds[entry["lookup"].kind]
         harmless = (
-            k.idempotency == interface.IDEMPOTENT
-            or k.idempotency == interface.DEDUPLICATED
-            and k.dedup_scope == interface.EVERYWHERE
+            kind.idempotency == interface.IDEMPOTENT
+            or kind.idempotency == interface.DEDUPLICATED
+            and kind.dedup_scope == interface.EVERYWHERE
         )
-        return self.doubts(held) and not harmless
+        return self.possible_runs(entry) and not harmless
 
-    def repeat(self, now, held, effect):
-        k = self.kinds[held["lookup"].kind]
-        out = [s for s in held["sends"] if s["end"] is None]
-        if len(held["sends"]) >= self.terms.max_sends:
+    def check_repeat(self, now, entry, effect):
+        kind = self.kinds[entry["lookup"].kind]
+        in_flight = [send for send in entry["sends"] if send["end"] is None]
+        if len(entry["sends"]) >= self.terms.max_sends:
             return "too many sends"
-        if out and (not self.terms.may_duplicate or len(out) > 1):
+        if in_flight and (not self.terms.may_duplicate or len(in_flight) > 1):
             return "two at once"
-        if k.idempotency == interface.SIDE_EFFECTING and self.doubts(held):
+        if kind.idempotency == interface.SIDE_EFFECTING and self.possible_runs(entry):
             return "an effect twice"
-        if k.idempotency == interface.DEDUPLICATED:
-            for s in self.doubts(held):
-                if now > s["at"] + k.dedup_duration:
+        if kind.idempotency == interface.DEDUPLICATED:
+            for send in self.possible_runs(entry):
+                if now > send["at"] + kind.dedup_duration:
                     return "repeated after the memory"
                 if (
-                    k.dedup_scope == interface.SAME_CELL
-                    and self.caches[s["cache"]].cell != self.caches[effect.cache].cell
+                    kind.dedup_scope == interface.SAME_CELL
+                    and self.caches[send["cache"]].cell != self.caches[effect.cache].cell
                 ):
                     return "repeated outside the group"
         return None
 
-    def drain(self, now, effect):
+    def check_draining(self, now, effect):
         for name in {effect.cache, getattr(effect, "source", effect.cache)}:
-            if now > self.unfit.get(name, now) + self.terms.drain_grace:
+            if now > self.unavailable_since.get(name, now) + self.terms.drain_grace:
                 return "sent to a drained cache"
         return None
 
-    def purge(self, now, held, effect):
-        lk = held["lookup"]
-        for told, made, p in self.purges:
-            hit = p.object == lk.object if p.object is not None else p.group == lk.group
-            if hit and now > told + self.terms.purge_grace and now < made + self.terms.purge_duration:
+    def check_purge(self, now, entry, effect):
+        request = entry["lookup"]
+        for told_at, purged_at, purge in self.purges:
+            concerned = (
+                purge.object == request.object if purge.object is not None else purge.group == request.group
+            )
+            if (
+                concerned
+                and now > told_at + self.terms.purge_grace
+                and now < purged_at + self.terms.purge_duration
+            ):
                 if self.caches[effect.cache].machine_type == self.terms.topology.origin_machine_type:
                     continue
                 limit = 0 if isinstance(effect, interface.Ask) else effect.max_age
-                limit = limit or self.kinds[lk.kind].fresh_duration
-                if limit == 0 or limit > now - made:
+                limit = limit or self.kinds[request.kind].fresh_duration
+                if limit == 0 or limit > now - purged_at:
                     return "an old copy allowed"
         return None
 
-    def warm(self, now, held, effect):
-        """This router's share of the budget of every window that ends now, each lookup at the least it can cost."""
-        t = self.terms
+    def check_cold(self, now, entry, effect):
+        """Limits the work in the window that ends now to this router's share; a lookup counts its sending time."""
+        terms = self.terms
         for name in {effect.cache, getattr(effect, "source", effect.cache)}:
-            c = self.caches[name]
-            parent = c.machine_type == t.topology.parent_machine_type
-            share, span, multiple, routers = (
-                (t.parent_cold_share, t.parent_cold_duration, t.parent_overload_multiple, t.topology.routers)
-                if parent
-                else (t.cold_share, t.cold_duration, t.overload_multiple, t.topology.routers_by_zone[1])
+            cache = self.caches[name]
+            is_parent = cache.machine_type == terms.topology.parent_machine_type
+            share, duration, multiple, routers = (
+                (
+                    terms.parent_cold_share,
+                    terms.parent_cold_duration,
+                    terms.parent_overload_multiple,
+                    terms.topology.routers,
+                )
+                if is_parent
+                else (
+                    terms.cold_share,
+                    terms.cold_duration,
+                    terms.overload_multiple,
+                    terms.topology.routers_by_zone[1],
+                )
             )
-            if not c.born or now >= c.born + span or c.machine_type == t.topology.origin_machine_type:
+            if (
+                not cache.born
+                or now >= cache.born + duration
+                or cache.machine_type == terms.topology.origin_machine_type
+            ):
                 continue
-            self.cold.append((now, name, held["lookup"].size / t.topology.answer_rate * SECOND))
-            start = max(now - t.overload_duration, c.born)
-            spent = sum(work for at, who, work in self.cold if who == name and at > start)
-            able = c.weight * (share + (1 - share) * (start - c.born) / span)
-            if spent > multiple * able * t.overload_duration / routers:
+            self.cold_work.append((now, name, entry["lookup"].size / terms.topology.answer_rate * SECOND))
+            start = max(now - terms.overload_duration, cache.born)
+            spent = sum(
+                work for sent_at, target, work in self.cold_work if target == name and sent_at > start
+            )
+            capacity = cache.weight * (share + (1 - share) * (start - cache.born) / duration)
+            if spent > multiple * capacity * terms.overload_duration / routers:
                 return "a cold cache pushed over"
         return None
 
 
-# ---- the network, in memory: a clock, connections that a test brings up or refuses, transports that keep bytes
+# ---- network in memory: a clock, connections that a test accepts or refuses, transports that record bytes
 
-END = "end"  # of a connection, that lies unread
+END = "end"  # stands for an end of the connection that has not been read yet
 
 
 class Wire(StringTransport):
-    """A transport whose end reaches its protocol a turn later, as on the reactor."""
+    """A transport whose end reaches its protocol in a later call of the clock, as on a reactor."""
 
     def __init__(self, net):
         super().__init__()
@@ -308,14 +330,14 @@
     loseConnection = abortConnection
 
     def loseWriteConnection(self):
-        """A client that sees the end closes its side too."""
+        """The peer closes its side too when it sees the end."""
         self.loseConnection()
 
     def doWrite(self):
-        """All is written as it comes."""
+        """Writes are recorded at once; nothing is pending."""
 
     def doRead(self):
-        """What lies unread: the reactor has not come to it yet."""
+        """Reads what has arrived but has not been delivered by the reactor yet."""
         unread, self.unread = self.unread, b""
         if unread == END:
             return Failure(ConnectionDone())
@@ -323,7 +345,7 @@
             self.come(unread)
 
     def take(self):
-        """What was written since the last look."""
+        """Returns what was written since the last call."""
         written = self.value()
         self.clear()
         return written
@@ -334,7 +356,7 @@
 
 
 class Way:
-    """One connection that was asked for."""
+    """A connection attempt, which the test accepts or refuses."""
 
     def __init__(self, net, host, port, factory):
         self.net, self.host, self.port, self.factory, self.wire = net, host, port, factory, None
@@ -347,7 +369,7 @@
 
     def stopConnecting(self):
         if self.over:
-            raise NotConnectingError  # as the reactor does
+            raise NotConnectingError  # as Twisted's connectors do
         self.over = True
         self.factory.clientConnectionFailed(self, Failure(ConnectionRefusedError()))
 
@@ -365,7 +387,7 @@
 
 
 class Noted:
-    """Stands for log and counters: keeps what it is told."""
+    """Replaces log and counters, and records what is logged and counted."""
 
     def __init__(self):
         self.lines, self.counted = [], []
@@ -384,7 +406,7 @@
 
 
 def message(seqid, name=b"execute", kind=thrift.CALL, body=b"", interrupted=None, **fields):
-    """One framed message as a client writes it."""
+    """One framed Thrift message as a client writes it."""
     if name == b"execute":
         given = {
             "service": "clip",
@@ -410,7 +432,7 @@
 
 
 def answers(data):
-    """What a router wrote: sequence number -> (kind of message, struct)."""
+    """Parses what a router wrote: sequence number -> (kind of message, struct)."""
     seen = {}
     for frame in thrift.Frames(10**7).feed(data):
         read = thrift.Message(frame)
@@ -420,7 +442,7 @@
 
 
 def settings():
-    """The settings in the words of the wire: one location with two object kinds."""
+    """Settings as the simulator or the platform gives them: one location with two object kinds."""
 
     def row(name, **more):
         return {
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The wire: what cannot be read is named, to the instance it concerns or by ending."""
+"""Messages of the simulator that cannot be read: an error names the cause, or the adapter ends."""
 
 import io
 import json
@@ -6,9 +6,12 @@
 from hookrouter.adapter.host import serve
 
 
-def talk(*batches):
+def exchange(*batches):
     out, errors = io.BytesIO(), io.StringIO()
-    lines = [b if isinstance(b, bytes) else json.dumps(b).encode() for b in batches]
+    lines = [
+        batch_or_bytes if isinstance(batch_or_bytes, bytes) else json.dumps(batch_or_bytes).encode()
+        for batch_or_bytes in batches
+    ]
     code = serve([line + b"\n" for line in lines], out, errors)
     return code, [json.loads(line) for line in out.getvalue().splitlines()], errors.getvalue()
 
@@ -18,7 +21,7 @@
 
 
 def test_an_empty_batch_is_echoed_and_the_end_of_input_ends_cleanly():
-    assert talk({"t": 1.5, "turn": 7, "groups": []}) == (0, [{"turn": 7, "groups": []}], "")
+    assert exchange({"t": 1.5, "turn": 7, "groups": []}) == (0, [{"turn": 7, "groups": []}], "")
 
 
 def test_a_line_that_is_no_batch_ends_with_one_plain_message():
@@ -29,17 +32,17 @@
         b'{"t":' + b"9" * 400 + b',"turn":1,"groups":[]}',
         b'{"t":NaN,"turn":1,"groups":[]}',
     ):
-        code, replies, said = talk(line)
+        code, replies, log = exchange(line)
         assert (
             code == 2
             and replies == []
-            and said.startswith("hookrouter: malformed batch")
-            and said.count("\n") == 1
+            and log.startswith("hookrouter: malformed batch")
+            and log.count("\n") == 1
         )
 
 
-def test_what_one_instance_cannot_read_is_its_own_fault():
-    for event, named in (
+def test_an_unreadable_message_affects_only_its_router():
+    for event, reason in (
         (["no such"], "unknown event"),
         (["peersKnown", "replace", 4, 1], "list 4"),
         (["reminder", "x"], "reminder.label"),
@@ -50,6 +53,6 @@
         ("reminder", "inbox"),
         ([], "unknown event"),
     ):
-        code, replies, said = talk(batch(1, event), batch(2))
+        code, replies, log = exchange(batch(1, event), batch(2))
         assert code == 0 and replies[0]["groups"][0]["cmds"][0][0] == "bug" and replies[1]["groups"] == []
-        assert named in replies[0]["groups"][0]["cmds"][0][1] and "Traceback" not in said
+        assert reason in replies[0]["groups"][0]["cmds"][0][1] and "Traceback" not in log
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The plain model of the five rules beside the module, on generated inputs."""
+"""Compares Control with the model of the rules in fleet.py, on generated inputs."""
 
 from random import Random
 
@@ -9,32 +9,32 @@
 from hookrouter.control import Control
 
 
-def made_up_change(dice, now):
-    c = dice.choice(FLEET)
-    phase = dice.choice((interface.READY, interface.READY, interface.DRAINING, interface.GONE))
-    born = now - dice.randrange(3 * SECOND) if dice.random() < 0.5 else c.born
-    return c._replace(phase=phase, born=born)
+def random_change(rng, now):
+    cache = rng.choice(FLEET)
+    phase = rng.choice((interface.READY, interface.READY, interface.DRAINING, interface.GONE))
+    born = now - rng.randrange(3 * SECOND) if rng.random() < 0.5 else cache.born
+    return cache._replace(phase=phase, born=born)
 
 
 def play(seed, control_of=Control, lookups=400, **more):
-    """One made-up day: what the module did, checked effect by effect. Returns the rules broken."""
-    dice, stated = Random(seed), terms(**more)
-    control, model, now = control_of(seed, stated), Model(stated), 1_000_000
-    broken, pending, alarms = [], [], []  # pending: (when, id, number, effect)
+    """Runs a router on random inputs and checks each effect. Returns the rules that were violated."""
+    rng, settings = Random(seed), terms(**more)
+    control, model, now = control_of(seed, settings), Model(settings), 1_000_000
+    violations, pending, alarms = [], [], []  # pending: [when, effect, number, end]
     queue = [interface.CacheList(interface.REMEMBERED, FLEET)]
     number = 0
-    done = set()  # answered, though the router may not know it yet
-    while number < lookups or pending or any(not h["answered"] for h in model.lookups.values()):
-        shown = []
+    done = set()  # answered, although the router may not know it yet
+    while number < lookups or pending or any(not entry["answered"] for entry in model.lookups.values()):
+        checked = []
         for event in queue:
-            model.told(now, event)
-            shown += [(effect, model.shown(now, effect)) for effect in control.decide(now, [event])]
-        for effect, wrong in shown:
-            if wrong:
-                broken.append(wrong)
+            model.observe(now, event)
+            checked += [(effect, model.violation(now, effect)) for effect in control.decide(now, [event])]
+        for effect, violation in checked:
+            if violation:
+                violations.append(violation)
             if isinstance(effect, (interface.Ask, interface.Obtain)):
-                slow = dice.random() < 0.2
-                at = now + min(effect.timeout, dice.randrange(10, 200 * MS) if not slow else 9 * SECOND)
+                slow = rng.random() < 0.2
+                at = now + min(effect.timeout, rng.randrange(10, 200 * MS) if not slow else 9 * SECOND)
                 pending.append([at, effect, len(model.lookups[effect.id]["sends"]) - 1, None])
             elif isinstance(effect, interface.Cancel):
                 for row in pending:
@@ -42,7 +42,7 @@
                         row[0], row[3] = now + 10, interface.CANCELLED
             elif isinstance(effect, interface.SetAlarm):
                 alarms.append((now + effect.delay, effect.token))
-        now += dice.randrange(20, 400)
+        now += rng.randrange(20, 400)
         queue = [interface.Alarm(token) for at, token in alarms if at <= now]
         alarms = [a for a in alarms if a[0] > now]
         for row in [row for row in pending if row[0] <= now]:
@@ -52,7 +52,7 @@
             end = end or (
                 interface.LATE
                 if late
-                else dice.choice(
+                else rng.choice(
                     (interface.SATISFIED,) * 8
                     + (
                         interface.ERRED,
@@ -65,59 +65,59 @@
             )
             settled = model.lookups[effect.id]["answered"] or effect.id in done or end == interface.SATISFIED
             queue.append(
-                interface.SendEnd(effect.id, n, end, dice.randrange(6), settled, 100, effect.cache, None)
+                interface.SendEnd(effect.id, n, end, rng.randrange(6), settled, 100, effect.cache, None)
             )
             if settled:
                 done.add(effect.id)
-        for held in model.lookups.values():
-            lk = held["lookup"]
-            if not held["answered"] and now > lk.due + 600:
-                broken.append("not answered in time")
-                held["answered"] = True
-            elif not held["answered"] and dice.random() < 0.002:
-                queue.append(interface.ClientGone(lk.id))
+        for entry in model.lookups.values():
+            request = entry["lookup"]
+            if not entry["answered"] and now > request.due + 600:
+                violations.append("not answered in time")
+                entry["answered"] = True
+            elif not entry["answered"] and rng.random() < 0.002:
+                queue.append(interface.ClientGone(request.id))
         if number < lookups:
-            for _ in range(dice.randrange(4)):
+            for _ in range(rng.randrange(4)):
                 number += 1
                 queue.append(
                     lookup(
                         number,
-                        dice.choice(KINDS).name,
-                        now + dice.randrange(4 * SECOND),
-                        f"k{dice.randrange(30)}",
-                        dice.randrange(5),
-                        dice.randrange(4),
-                        dice.choice((200, 2000)),
+                        rng.choice(KINDS).name,
+                        now + rng.randrange(4 * SECOND),
+                        f"k{rng.randrange(30)}",
+                        rng.randrange(5),
+                        rng.randrange(4),
+                        rng.choice((200, 2000)),
                     )
                 )
-            if dice.random() < 0.05:
-                queue.append(interface.CacheList(interface.CHANGES, (made_up_change(dice, now),)))
-            if dice.random() < 0.05:
+            if rng.random() < 0.05:
+                queue.append(interface.CacheList(interface.CHANGES, (random_change(rng, now),)))
+            if rng.random() < 0.05:
                 queue.append(
                     interface.Purged(
-                        dice.randrange(500 * MS),
-                        dice.randrange(4),
-                        dice.choice((None, f"k{dice.randrange(30)}")),
+                        rng.randrange(500 * MS),
+                        rng.randrange(4),
+                        rng.choice((None, f"k{rng.randrange(30)}")),
                     )
                 )
-            if dice.random() < 0.005:  # killed and started anew: what it held is no longer its duty
-                control, model, pending, alarms = control_of(number, stated), Model(stated), [], []
+            if rng.random() < 0.005:  # restarted: it need not answer earlier lookups
+                control, model, pending, alarms = control_of(number, settings), Model(settings), [], []
                 queue = [interface.CacheList(interface.REMEMBERED, FLEET)]
-    return broken
+    return violations
 
 
 @pytest.mark.parametrize("seed", range(12))
-@pytest.mark.parametrize("pairs", (False, True))
-def test_the_module_keeps_the_rules_of_the_model(seed, pairs):
-    assert play(seed, may_duplicate=pairs) == []
+@pytest.mark.parametrize("may_duplicate", (False, True))
+def test_control_keeps_the_rules_of_the_model(seed, may_duplicate):
+    assert play(seed, may_duplicate=may_duplicate) == []
 
 
-class Reckless(Control):
-    """A module without guards, so that the model is seen to fail."""
+class IgnoresRules(Control):
+    """A router that ignores the rules, to show that the model detects it."""
 
-    def __init__(self, *stated):
-        super().__init__(*stated)
-        self.rules.admissible = self.rules.nackable = self.cold.affords = lambda *asked: True
+    def __init__(self, *settings):
+        super().__init__(*settings)
+        self.rules.admissible = self.rules.nackable = self.cold.affords = lambda *arguments: True
         self.purges.max_age = lambda lookup: 0
 
     def decide(self, now, inputs):
@@ -132,9 +132,9 @@
         )
 
 
-def test_the_model_fails_a_module_without_guards():
-    broken = {wrong for seed in range(12) for wrong in play(seed, Reckless)}
-    assert broken >= {
+def test_the_model_detects_a_router_that_ignores_the_rules():
+    violations = {violation for seed in range(12) for violation in play(seed, IgnoresRules)}
+    assert violations >= {
         "an effect twice",
         "nacked what may have run",
         "repeated outside the group",
--- a/tests/test_leaving.py
+++ b/tests/test_send_start.py
@@ -1,4 +1,4 @@
-"""When a request leaves for a cache, in memory: by its last moment, for a client that waits; and what came in time."""
+"""When requests to caches are written, and which answers are in time."""
 
 import pytest
 from fleet import answer
@@ -7,14 +7,14 @@
 from hookrouter import interface
 
 
-def test_a_repeat_leaves_by_the_moment_that_is_carried_with_it_or_never():
-    """The window of repeats was held against the decision alone; a dial may take 0.4 s more."""
+def test_a_repeat_is_written_within_its_time_or_never():
+    """A repeat must arrive before the cache forgets the first send, and connecting may take 0.4 s."""
     s = Scene(most=1)
     s.send(leave=0.05)
     s.net.advance(0.06)
     assert s.ends() == [interface.UNREACHED]
     s.send(leave=0.05)
-    s.net.rightNow += 0.06  # a pause: no timer was called
+    s.net.rightNow += 0.06  # the process paused: no timer was called
     wire = s.up()
     s.net.advance(0)
     assert wire.take() == b"" and not wire.open and s.ends() == [interface.UNREACHED] * 2
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("on", ["a dial", "a descriptor", "an idle connection"])
-def test_a_request_is_not_written_where_nobody_waits_for_it_any_more(on):
+def test_a_request_is_not_written_once_its_client_has_stopped_waiting(on):
     s, wanted = Scene(most=1), [True]
     if on != "a dial":
         s.send()
@@ -41,8 +41,8 @@
     s.nothing_is_left()
 
 
-def test_an_answer_that_lies_unread_at_its_deadline_came_in_time():
-    """After a pause of the process timers come before reads: the answer counted as late, and one more attempt began."""
+def test_an_answer_still_unread_at_its_deadline_counts_as_in_time():
+    """After a pause of the process timers run before reads: such an answer counted as late and was repeated."""
     s = Scene()
     s.send()
     s.up().unread = answer(200, b"body")
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""The trace of decisions: written under load and faults, read back, made again, and counted."""
+"""The trace of decisions: written under load and faults, read back, replayed, and accounted."""
 
 import json
 import os
@@ -19,45 +19,45 @@
 from hookrouter.trace.rows import MAX_LINE, Header, KindRow, known_load
 
 
-def traced(folder):
+def traced_scene(folder):
     return Scene(folder, trace={"folder": str(folder), "size": 8_000_000})
 
 
-def read(folder):
-    found = []
+def read_traces(folder):
+    runs = []
     for _, path in segments(str(folder)):
-        whole = list(lines(path))
-        found.append((read_header(whole[0]), [read_row(line) for line in whole[1:]]))
-    return found
+        content = list(lines(path))
+        runs.append((read_header(content[0]), [read_row(line) for line in content[1:]]))
+    return runs
 
 
-def busy(s, count, seed=1):
-    """Lookups that are satisfied, fail, are left or go silent."""
-    chance, wire = Random(seed), s.client()
+def play_lookups(s, count, seed=1):
+    """Sends lookups that are satisfied, fail, or get no answer."""
+    rng, wire = Random(seed), s.client()
     for n in range(1, count + 1):
-        wire.come(message(n, part=str(n % 4), lookup=f"{chance.randrange(20):016x}"))
+        wire.come(message(n, part=str(n % 4), lookup=f"{rng.randrange(20):016x}"))
         s.net.advance(0.02)
-        for way in list(s.net.ways):
-            if way.over:
+        for connector in list(s.net.ways):
+            if connector.over:
                 continue
-            line = way.up()
-            if line.take() and (luck := chance.random()) < 0.8:
+            line = connector.up()
+            if line.take() and (draw := rng.random()) < 0.8:
                 line.come(
                     answer(200, b"x" * 200)
-                    if luck < 0.7
+                    if draw < 0.7
                     else answer(503, b"", b"X-Declined: 1")
-                    if luck < 0.75
+                    if draw < 0.75
                     else answer(500, b"")
                 )
     s.net.pump([0.2] * 30)
 
 
-def test_what_was_decided_is_read_back_and_made_again_by_the_same_build(tmp_path):
-    s = traced(tmp_path)
-    busy(s, 200)
-    assert s.router.trace.recorder.size < BLOCK + MAX_LINE  # what waits for the disk is bounded
+def test_decisions_are_read_back_and_a_replay_by_the_same_build_repeats_them(tmp_path):
+    s = traced_scene(tmp_path)
+    play_lookups(s, 200)
+    assert s.router.trace.recorder.size < BLOCK + MAX_LINE  # the lines not yet written are bounded
     s.router.trace.close()
-    ((header, rows),) = read(tmp_path)
+    ((header, rows),) = read_traces(tmp_path)
     assert (
         header.router == s.start.name
         and len(rows) > 120
@@ -72,10 +72,10 @@
     other = Replay(header)
     for row in rows:
         other.play(row)
-    assert other.different > 0 and other.differences  # a nack's time to come back is drawn
+    assert other.different > 0 and other.differences  # the retry time of a nack is random
 
 
-def test_the_oldest_goes_and_a_new_life_goes_on_behind_the_old_one(tmp_path):
+def test_the_oldest_segment_is_removed_and_a_new_run_continues_the_numbers(tmp_path):
     log = TraceLog(str(tmp_path), "n1", 80_000, b"{}\n")
     for _ in range(200):
         log.write(os.urandom(4_000).hex().encode() + b"\n")
@@ -92,42 +92,44 @@
     )
 
 
-def test_whatever_a_crash_or_the_disk_leaves_what_is_before_it_is_read(tmp_path):
+def test_rows_before_damage_by_a_crash_or_the_disk_are_read(tmp_path):
     log = TraceLog(str(tmp_path), "n1", 1_000_000, b"{}\n")
     for n in range(50):
         log.write(b"[%d]\n" % n * 20)
     log.close()
     ((_, path),) = segments(str(tmp_path))
-    whole, good = open(path, "rb").read(), list(lines(path))
-    chance = Random(5)
+    content, complete = open(path, "rb").read(), list(lines(path))
+    rng = Random(5)
     for _ in range(60):
-        at = chance.randrange(1, len(whole))
-        spoilt = (
-            whole[:at] if chance.random() < 0.5 else whole[:at] + bytes((whole[at] ^ 0x40,)) + whole[at + 1 :]
+        at = rng.randrange(1, len(content))
+        damaged = (
+            content[:at]
+            if rng.random() < 0.5
+            else content[:at] + bytes((content[at] ^ 0x40,)) + content[at + 1 :]
         )
-        open(path, "wb").write(spoilt)
-        got = []
+        open(path, "wb").write(damaged)
+        read_back = []
         try:
             for line in lines(path):
-                got.append(line)
-        except ValueError as wrong:
-            assert path in str(wrong)
-        assert got == good[: len(got)]
+                read_back.append(line)
+        except ValueError as error:
+            assert path in str(error)
+        assert read_back == complete[: len(read_back)]
 
 
 @pytest.mark.parametrize(
     "line", [b"", b"{}", b"[1]", b"[1,2,3,4,5]", b"\xff", b"[" * 90_000, b"9" * (MAX_LINE + 1)]
 )
-def test_lines_that_are_none_are_refused(line):
+def test_lines_that_are_not_of_a_trace_are_refused(line):
     for reader in (read_row, read_header):
         with pytest.raises(UnreadableTrace):
             reader(line)
 
 
-def test_a_full_disk_ends_the_trace_and_not_the_router(tmp_path):
-    s = traced(tmp_path)
-    s.router.trace.store.file = open("/dev/full", "wb")  # refuses when flushed, and again when closed
-    busy(s, 20)
+def test_a_full_disk_ends_the_trace_but_not_the_router(tmp_path):
+    s = traced_scene(tmp_path)
+    s.router.trace.store.file = open("/dev/full", "wb")  # fails when flushed, and again when closed
+    play_lookups(s, 20)
     assert s.counters.values["traces_failed"] == 1 and "trace cannot be written" in s.out.text
     assert s.adds_up()["lookups_held"] == 0
     s.router.trace.close()
@@ -138,9 +140,9 @@
 HEADER = Header("r1", "0", 0.5, [KindRow("clip", 6_000, 1.6, 50_000, 2.0, 0.15)], 0, 1, [], False)
 
 
-def told(account, router, rows):
+def add_rows(account, router, rows):
     for at, event, *effects in rows:
-        said = [
+        effects_in_trace = [
             [
                 type(e).__name__,
                 list(e),
@@ -148,51 +150,51 @@
             ]
             for e in effects
         ]
-        account.add(router, Row(at, type(event).__name__, list(event), said, "ref"))
+        account.add(router, Row(at, type(event).__name__, list(event), effects_in_trace, "ref"))
 
 
-def ask_of(n, cache="c0", source="p0", held=False):
-    return interface.Obtain(n, cache, source, 30_000, 0, 1, True, held, False, False)
+def obtain(n, cache="c0", source="p0", hits_only=False):
+    return interface.Obtain(n, cache, source, 30_000, 0, 1, True, hits_only, False, False)
 
 
-def came(n, took, end=interface.SATISFIED, cache="c0"):
-    return interface.SendEnd(n, 0, end, 0, end == interface.SATISFIED, took, cache, None)
+def send_end(n, duration, outcome=interface.SATISFIED, cache="c0"):
+    return interface.SendEnd(n, 0, outcome, 0, outcome == interface.SATISFIED, duration, cache, None)
 
 
-def test_each_lookup_is_counted_once_and_laid_to_its_cause():
+def test_each_lookup_is_counted_once_with_its_cause():
     account = Account()
     account.begin(HEADER)
-    clip = lambda n: interface.Lookup(n, "clip", "k", 0, 1, 500.0, 60_000, False)  # noqa: E731, 1,000 units to send
-    told(
+    request = lambda n: interface.Lookup(n, "clip", "k", 0, 1, 500.0, 60_000, False)  # noqa: E731, 1,000 units to send
+    add_rows(
         account,
         "r1",
         [
-            (0, clip(1), ask_of(1)),
-            (900, came(1, 900)),
-            (1_000, clip(2), ask_of(2)),
-            (11_000, came(2, 10_000)),  # late while others there were quick
-            (10_100, clip(3), ask_of(3)),
-            (11_200, came(3, 1_100)),
-            (10_200, clip(4), ask_of(4)),
-            (11_300, came(4, 1_100)),
-            (12_000, clip(5), interface.Nack(5, 900, "fills")),
-            (13_000, clip(6), ask_of(6)),
+            (0, request(1), obtain(1)),
+            (900, send_end(1, 900)),
+            (1_000, request(2), obtain(2)),
+            (11_000, send_end(2, 10_000)),  # late while other answers of the cache were quick
+            (10_100, request(3), obtain(3)),
+            (11_200, send_end(3, 1_100)),
+            (10_200, request(4), obtain(4)),
+            (11_300, send_end(4, 1_100)),
+            (12_000, request(5), interface.Nack(5, 900, "fills")),
+            (13_000, request(6), obtain(6)),
             (14_000, interface.ClientGone(6)),
-            (15_000, clip(7), interface.Give(7)),
-            (16_000, clip(8), ask_of(8, held=True)),
-            (16_010, came(8, 10, interface.MISSING), interface.Nack(8, 900, "fills")),
-            (17_000, clip(9), ask_of(9)),
-            (18_000, clip(10), interface.Ask(10, "c0", 900, 400)),
-            (18_500, came(10, 500)),  # without a source, as writes go
+            (15_000, request(7), interface.Give(7)),
+            (16_000, request(8), obtain(8, hits_only=True)),
+            (16_010, send_end(8, 10, interface.MISSING), interface.Nack(8, 900, "fills")),
+            (17_000, request(9), obtain(9)),
+            (18_000, request(10), interface.Ask(10, "c0", 900, 400)),
+            (18_500, send_end(10, 500)),  # without a source, as writes are sent
         ],
     )
-    account.begin(HEADER)  # the router was started anew: the ninth has no end
-    ends = [(end.outcome, account.cause(end)) for end in account.ended_lookups]
+    account.begin(HEADER)  # the router was restarted: the ninth lookup has no end
+    ends = [(ended.outcome, account.cause(ended)) for ended in account.ended_lookups]
     assert ("late", "its fill, others there were quick") in ends and ("open", "router ended") in ends
     assert ("in budget", "own copy") in ends and ends.count(("nacked", "fills")) == 2
-    assert [e.outcome for e in account.ended_lookups].count("late") == 1 and account.by_kind()["clip"][
-        0
-    ] == 10
+    assert [ended.outcome for ended in account.ended_lookups].count("late") == 1 and account.by_kind()[
+        "clip"
+    ][0] == 10
     assert account.skipped == 0 and account.sends()["held", "satisfied"] == (1, 500)
     assert sum(count for _, count, *_ in account.by_second()) == 10 and not any(
         account.in_flight_by_cache.values()
@@ -201,7 +203,7 @@
     assert account.sends()["held", "missing"] == (1, 10)
 
 
-def test_large_objects_are_held_against_the_rest_of_their_kind():
+def test_large_objects_are_compared_with_the_rest_of_their_kind():
     account = Account()
     account.begin(HEADER)
     rows = []
@@ -209,26 +211,26 @@
         400
     ):  # of the 40 largest every second is answered, of the 80 after them three in four, then all
         size = 1_000.0 - n
-        good = n % 2 == 0 if n < 40 else n % 4 != 0 if n < 120 else True
+        answered = n % 2 == 0 if n < 40 else n % 4 != 0 if n < 120 else True
         rows.append(
             (
                 n,
                 interface.Lookup(n, "clip", "k", 0, 1, size, 60_000, False),
-                interface.Give(n) if good else interface.Nack(n, 900, "fills"),
+                interface.Give(n) if answered else interface.Nack(n, 900, "fills"),
             )
         )
-    told(account, "r1", rows)
-    count, whole, largest, after = account.by_size()["clip"]
+    add_rows(account, "r1", rows)
+    count, overall, largest, next_largest = account.by_size()["clip"]
     assert (
-        (count, whole) == (400, 0.9)
+        (count, overall) == (400, 0.9)
         and largest == pytest.approx(0.5 / 0.9)
-        and after == pytest.approx(0.75 / 0.9)
+        and next_largest == pytest.approx(0.75 / 0.9)
     )
-    account.ended_lookups = [end._replace(size=0.0) for end in account.ended_lookups]
+    account.ended_lookups = [ended._replace(size=0.0) for ended in account.ended_lookups]
     assert account.by_size() == {}
 
 
-def test_rows_of_another_version_are_left_out_and_the_rest_counts():
+def test_rows_of_another_version_are_skipped_and_the_rest_counts():
     account = Account()
     account.begin(HEADER)
     account.add("r1", Row(1, "Lookup", [1], [], None))
@@ -237,10 +239,10 @@
 
 
 def test_the_commands_follow_a_lookup_and_account_for_a_trace(tmp_path, capsys):
-    s = traced(tmp_path)
-    busy(s, 40)
+    s = traced_scene(tmp_path)
+    play_lookups(s, 40)
     s.router.trace.close()
-    ref = next(row.ref for row in read(tmp_path)[0][1] if row.event == "Lookup")
+    ref = next(row.ref for row in read_traces(tmp_path)[0][1] if row.event == "Lookup")
     assert main(["trace", "show", str(tmp_path), "--lookup", ref, "--json"]) == 0
     shown = [json.loads(line) for line in capsys.readouterr().out.splitlines()]
     assert shown[0][2] == "Lookup" and shown[0][5] == ref and len(shown) >= 1
@@ -248,17 +250,17 @@
     counted = json.loads(capsys.readouterr().out)
     assert counted["skipped"] == 0 and counted["lookups"] == 40
     ((_, path),) = segments(str(tmp_path))
-    header, *rest = list(lines(path))
-    cut = (
-        next(n for n, line in enumerate(rest) if b"Lookup" in line and n > 20) + 1
-    )  # one is open across the two
+    header, *rows = list(lines(path))
+    split_at = (
+        next(n for n, line in enumerate(rows) if b"Lookup" in line and n > 20) + 1
+    )  # a lookup is open in both
     (two := tmp_path / "two").mkdir()
-    for part in (rest[:cut], rest[cut:]):
+    for part in (rows[:split_at], rows[split_at:]):
         log = TraceLog(str(two), s.start.name, 8_000_000, header + b"\n")
         log.write(b"\n".join([*part, b""]))
         log.close()
     assert main(["trace", "account", str(two), "--json"]) == 0
-    assert json.loads(capsys.readouterr().out) == counted  # a life in two segments is one
+    assert json.loads(capsys.readouterr().out) == counted  # a run in two segments counts as one
     assert main(["trace", "replay", str(two)]) == 0
     assert main(["trace", "account", str(tmp_path)]) == 0 and "utility %" in capsys.readouterr().out
     assert main(["trace", "replay", str(tmp_path)]) == 0
@@ -273,9 +275,9 @@
     assert "Traceback" not in capsys.readouterr().err
 
 
-def test_beliefs_are_of_the_caches_that_a_send_names():
+def test_known_load_is_of_the_caches_that_a_send_names():
     control = Control(1, terms())
     control.decide(1_000_000, [interface.CacheList(interface.REMEMBERED, (*CACHES, cache_of("c5")))])
     send = sends(control.decide(1_000_000, [lookup(1)]))[0]
-    out, room, feeding, _ = known_load(control, send)
-    assert (out, feeding) == (1, 1) and room == float("inf")
+    in_flight, window, upstream_in_flight, _ = known_load(control, send)
+    assert (in_flight, upstream_in_flight) == (1, 1) and window == float("inf")
