--- a/hookrouter/trace/account.py
+++ b/hookrouter/trace/account.py
@@ -69,9 +69,9 @@
         """Starts a run of a router; call it once before the run's rows, not for each segment."""
         self.kinds.update((kind.name, kind) for kind in header.kinds)
         self.answer_rate = header.pace or self.answer_rate
-        self.end_life(header.router)
+        self.end_run(header.router)
 
-    def end_life(self, router):
+    def end_run(self, router):
         """Ends the router's previous run: its open lookups stay unfinished."""
         for key in [key for key in self.open_lookups if key[0] == router]:
             self._end(self.open_lookups.pop(key), UNFINISHED, "router ended")
@@ -110,9 +110,11 @@
             if end.settled:
                 self._satisfied(self.open_lookups.pop((router, end.id)), row.at)
 
-    def _satisfied(self, lookup, at, reason=""):
+    def _satisfied(self, lookup, ended_at, reason=""):
         kind = self.kinds[lookup.request.kind]
-        late = at - lookup.arrived_at > kind.latency_budget + kind.budget_stretch * self._sending_time(lookup)
+        late = ended_at - lookup.arrived_at > kind.latency_budget + kind.budget_stretch * self._sending_time(
+            lookup
+        )
         self._end(lookup, LATE if late else IN_BUDGET, reason)
 
     def _client_gone(self, router, row):
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -319,7 +319,7 @@
         protocol.makeConnection(self)
         return self
 
-    def setTcpNoDelay(self, on):
+    def setTcpNoDelay(self, enabled):
         pass
 
     def abortConnection(self):
@@ -527,8 +527,8 @@
     }
 
 
-def members(n, *endpoints, whole=False):
-    return {"n": n, "members": {"index": n, "snapshot": whole, "endpoints": list(endpoints)}}
+def members(number, *endpoints, whole=False):
+    return {"n": number, "members": {"index": number, "snapshot": whole, "endpoints": list(endpoints)}}
 
 
 def configuration(*events, listen="127.0.0.1:7001", feed="127.0.0.1:9092"):
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -73,15 +73,15 @@
 
 
 class TurnSpentAgainAfterRestart(Cold):
-    def start(self, n, born, at_router_start=False):
+    def start(self, row, born, at_router_start=False):
         """After a restart the open turn, which may be spent, is used again."""
-        super().start(n, born)
+        super().start(row, born)
 
 
 class CreditGrantedAtEachCheck(Cold):
-    def affords(self, n, cost):
-        self.last_turn[n] = -1
-        return super().affords(n, cost)
+    def affords(self, row, cost):
+        self.last_turn[row] = -1
+        return super().affords(row, cost)
 
 
 class ParentTurnsCountedByLocation(Cold):
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -30,10 +30,10 @@
 
 def test_a_fill_comes_from_the_next_parent_and_from_the_origin_where_none_is_up():
     source = sends(router().decide(NOW, [lookup(1)]))[0].source
-    left = [c for c in FLEET if c.id != source]
+    left = [listed for listed in FLEET if listed.id != source]
     other_source = sends(router(left).decide(NOW, [lookup(1)]))[0].source
     assert {source, other_source} == {"p0", "p1"}
-    none = [c for c in FLEET if c.machine_type != "parent"]
+    none = [listed for listed in FLEET if listed.machine_type != "parent"]
     assert sends(router(none).decide(NOW, [lookup(1)]))[0].source == "o0"
 
 
@@ -146,8 +146,8 @@
     assert control.cold.presumed_dead[n]
 
 
-def sent_to(control, n):
-    return PendingSend(n, n, None, 0, 0, NOW, early_timeout=False, target_idle=False)
+def sent_to(control, row):
+    return PendingSend(row, row, None, 0, 0, NOW, early_timeout=False, target_idle=False)
 
 
 def test_an_older_copy_is_accepted_once_no_fill_is_possible():
@@ -193,7 +193,7 @@
     assert {sends(control.decide(NOW, [lookup(n)]))[0].source for n in range(1, 20)} == {"p1"}
     control.windows.gate, control.windows.gate_opens_from = 0.0, NOW
     late = [sends(control.decide(NOW, [lookup(n)]))[0] for n in range(20, 29)]
-    assert all(s.source == s.cache for s in late)
+    assert all(send.source == send.cache for send in late)
 
 
 def test_a_failed_subscription_to_the_list_is_repeated_until_it_is_answered():
@@ -289,9 +289,9 @@
         routers=routers, routers_by_zone=(0, zone_routers), number=7, answer_rate=0.0
     )
     control = router(fleet, topology=topology, kinds=odd_kinds)
-    restarted = [c._replace(born=NOW) for c in fleet]
+    restarted = [listed._replace(born=NOW) for listed in fleet]
     answered = set()
-    for step, news in enumerate(
+    for step, cache_list in enumerate(
         (
             interface.CacheList(interface.CHANGES, tuple(restarted)),
             interface.CacheList(interface.WHOLE, ()),
@@ -300,7 +300,11 @@
     ):
         now = NOW + step * 100
         effects = control.decide(
-            now, [news, *(lookup(9 * step + n, k.name, size=5) for n, k in enumerate(odd_kinds))]
+            now,
+            [
+                cache_list,
+                *(lookup(9 * step + n, odd_kind.name, size=5) for n, odd_kind in enumerate(odd_kinds)),
+            ],
         )
         for _ in range(9):
             answered |= {e.id for e in effects if isinstance(e, (interface.Nack, interface.Fail))}
@@ -422,11 +426,11 @@
 def test_under_overload_no_lookup_is_repeated_but_for_hits_at_a_parent_and_no_source_is_blamed():
     control = router(note_level="none")
     control.windows.gate, control.windows.gate_opens_from = 0.4, NOW
-    held = [sends(control.decide(NOW, [lookup(n, size=1)]))[0] for n in range(1, 12)]
-    send = next(send for send in held if send.source != send.cache)
+    sent = [sends(control.decide(NOW, [lookup(n, size=1)]))[0] for n in range(1, 12)]
+    send = next(send for send in sent if send.source != send.cache)
     assert isinstance(control.decide(NOW, [send_end(send, interface.ERRED)])[0], interface.Nack)
     assert not any(control.health.failures[n] for n in control.parents)
-    refused = next(other for other in held if other.source != other.cache and other is not send)
+    refused = next(other for other in sent if other.source != other.cache and other is not send)
     again = sends(control.decide(NOW, [send_end(refused, interface.FULL)]))
     assert not again or again[0].hits_only
 
@@ -452,8 +456,8 @@
         control.windows.gate = 0.3
         for n in range(100):
             control.now = control.windows.gate_opens_from = NOW
-            send = sends(control.decide(NOW, [lookup(n, key=f"o{n}", size=size)]))
-            filled[size] += bool(send) and send[0].source != send[0].cache
-            for s in send:
-                control.decide(NOW, [send_end(s, interface.MISSING)])
+            effects = sends(control.decide(NOW, [lookup(n, key=f"o{n}", size=size)]))
+            filled[size] += bool(effects) and effects[0].source != effects[0].cache
+            for send in effects:
+                control.decide(NOW, [send_end(send, interface.MISSING)])
     assert filled[200] > 95 and filled[20_000] < 50
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -34,8 +34,8 @@
                 violations.append(violation)
             if isinstance(effect, (interface.Ask, interface.Obtain)):
                 slow = rng.random() < 0.2
-                at = now + min(effect.timeout, rng.randrange(10, 200 * MS) if not slow else 9 * SECOND)
-                pending.append([at, effect, len(model.lookups[effect.id]["sends"]) - 1, None])
+                when = now + min(effect.timeout, rng.randrange(10, 200 * MS) if not slow else 9 * SECOND)
+                pending.append([when, effect, len(model.lookups[effect.id]["sends"]) - 1, None])
             elif isinstance(effect, interface.Cancel):
                 for row in pending:
                     if row[1].id == effect.id and row[2] == effect.send:
@@ -43,12 +43,12 @@
             elif isinstance(effect, interface.SetAlarm):
                 alarms.append((now + effect.delay, effect.token))
         now += rng.randrange(20, 400)
-        queue = [interface.Alarm(token) for at, token in alarms if at <= now]
-        alarms = [a for a in alarms if a[0] > now]
+        queue = [interface.Alarm(token) for when, token in alarms if when <= now]
+        alarms = [alarm for alarm in alarms if alarm[0] > now]
         for row in [row for row in pending if row[0] <= now]:
             pending.remove(row)
-            at, effect, n, end = row
-            late = at >= effect.timeout + model.lookups[effect.id]["sends"][n]["at"]
+            when, effect, n, end = row
+            late = when >= effect.timeout + model.lookups[effect.id]["sends"][n]["at"]
             end = end or (
                 interface.LATE
                 if late
@@ -124,7 +124,7 @@
         return super().decide(
             now,
             [
-                e._replace(caches=tuple(c._replace(phase=interface.READY) for c in e.caches))
+                e._replace(caches=tuple(cache._replace(phase=interface.READY) for cache in e.caches))
                 if isinstance(e, interface.CacheList)
                 else e
                 for e in inputs
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -31,13 +31,13 @@
     return runs
 
 
-def play_lookups(s, count, seed=1):
+def play_lookups(scene, count, seed=1):
     """Sends lookups that are satisfied, fail, or get no answer."""
-    rng, wire = Random(seed), s.client()
-    for n in range(1, count + 1):
-        wire.come(message(n, part=str(n % 4), lookup=f"{rng.randrange(20):016x}"))
-        s.net.advance(0.02)
-        for connector in list(s.net.ways):
+    rng, wire = Random(seed), scene.client()
+    for number in range(1, count + 1):
+        wire.come(message(number, part=str(number % 4), lookup=f"{rng.randrange(20):016x}"))
+        scene.net.advance(0.02)
+        for connector in list(scene.net.ways):
             if connector.over:
                 continue
             line = connector.up()
@@ -49,17 +49,17 @@
                     if draw < 0.75
                     else answer(500, b"")
                 )
-    s.net.pump([0.2] * 30)
+    scene.net.pump([0.2] * 30)
 
 
 def test_decisions_are_read_back_and_a_replay_by_the_same_build_repeats_them(tmp_path):
-    s = traced_scene(tmp_path)
-    play_lookups(s, 200)
-    assert s.router.trace.recorder.size < BLOCK + MAX_LINE  # the lines not yet written are bounded
-    s.router.trace.close()
+    scene = traced_scene(tmp_path)
+    play_lookups(scene, 200)
+    assert scene.router.trace.recorder.size < BLOCK + MAX_LINE  # the lines not yet written are bounded
+    scene.router.trace.close()
     ((header, rows),) = read_traces(tmp_path)
     assert (
-        header.router == s.start.name
+        header.router == scene.start.name
         and len(rows) > 120
         and {row.event for row in rows} >= {"CacheList", "Lookup", "SendEnd", "Alarm"}
     )
@@ -94,8 +94,8 @@
 
 def test_rows_before_damage_by_a_crash_or_the_disk_are_read(tmp_path):
     log = TraceLog(str(tmp_path), "n1", 1_000_000, b"{}\n")
-    for n in range(50):
-        log.write(b"[%d]\n" % n * 20)
+    for number in range(50):
+        log.write(b"[%d]\n" % number * 20)
     log.close()
     ((_, path),) = segments(str(tmp_path))
     content, complete = open(path, "rb").read(), list(lines(path))
@@ -127,12 +127,12 @@
 
 
 def test_a_full_disk_ends_the_trace_but_not_the_router(tmp_path):
-    s = traced_scene(tmp_path)
-    s.router.trace.store.file = open("/dev/full", "wb")  # fails when flushed, and again when closed
-    play_lookups(s, 20)
-    assert s.counters.values["traces_failed"] == 1 and "trace cannot be written" in s.out.text
-    assert s.adds_up()["lookups_held"] == 0
-    s.router.trace.close()
+    scene = traced_scene(tmp_path)
+    scene.router.trace.store.file = open("/dev/full", "wb")  # fails when flushed, and again when closed
+    play_lookups(scene, 20)
+    assert scene.counters.values["traces_failed"] == 1 and "trace cannot be written" in scene.out.text
+    assert scene.adds_up()["lookups_held"] == 0
+    scene.router.trace.close()
 
 
 # ---- the account
@@ -153,18 +153,19 @@
         account.add(router, Row(at, type(event).__name__, list(event), effects_in_trace, "ref"))
 
 
-def obtain(n, cache="c0", source="p0", hits_only=False):
-    return interface.Obtain(n, cache, source, 30_000, 0, 1, True, hits_only, False, False)
+def obtain(number, cache="c0", source="p0", hits_only=False):
+    return interface.Obtain(number, cache, source, 30_000, 0, 1, True, hits_only, False, False)
 
 
-def send_end(n, duration, outcome=interface.SATISFIED, cache="c0"):
-    return interface.SendEnd(n, 0, outcome, 0, outcome == interface.SATISFIED, duration, cache, None)
+def send_end(number, duration, outcome=interface.SATISFIED, cache="c0"):
+    return interface.SendEnd(number, 0, outcome, 0, outcome == interface.SATISFIED, duration, cache, None)
 
 
 def test_each_lookup_is_counted_once_with_its_cause():
     account = Account()
     account.begin(HEADER)
-    request = lambda n: interface.Lookup(n, "clip", "k", 0, 1, 500.0, 60_000, False)  # noqa: E731, 1,000 units to send
+    # Sending time: 1,000 time units.
+    request = lambda number: interface.Lookup(number, "clip", "k", 0, 1, 500.0, 60_000, False)  # noqa: E731
     add_rows(
         account,
         "r1",
@@ -207,16 +208,16 @@
     account = Account()
     account.begin(HEADER)
     rows = []
-    for n in range(
+    for number in range(
         400
     ):  # of the 40 largest every second is answered, of the 80 after them three in four, then all
-        size = 1_000.0 - n
-        answered = n % 2 == 0 if n < 40 else n % 4 != 0 if n < 120 else True
+        size = 1_000.0 - number
+        answered = number % 2 == 0 if number < 40 else number % 4 != 0 if number < 120 else True
         rows.append(
             (
-                n,
-                interface.Lookup(n, "clip", "k", 0, 1, size, 60_000, False),
-                interface.Give(n) if answered else interface.Nack(n, 900, "fills"),
+                number,
+                interface.Lookup(number, "clip", "k", 0, 1, size, 60_000, False),
+                interface.Give(number) if answered else interface.Nack(number, 900, "fills"),
             )
         )
     add_rows(account, "r1", rows)
@@ -239,9 +240,9 @@
 
 
 def test_the_commands_follow_a_lookup_and_account_for_a_trace(tmp_path, capsys):
-    s = traced_scene(tmp_path)
-    play_lookups(s, 40)
-    s.router.trace.close()
+    scene = traced_scene(tmp_path)
+    play_lookups(scene, 40)
+    scene.router.trace.close()
     ref = next(row.ref for row in read_traces(tmp_path)[0][1] if row.event == "Lookup")
     assert main(["trace", "show", str(tmp_path), "--lookup", ref, "--json"]) == 0
     shown = [json.loads(line) for line in capsys.readouterr().out.splitlines()]
@@ -252,11 +253,11 @@
     ((_, path),) = segments(str(tmp_path))
     header, *rows = list(lines(path))
     split_at = (
-        next(n for n, line in enumerate(rows) if b"Lookup" in line and n > 20) + 1
+        next(number for number, line in enumerate(rows) if b"Lookup" in line and number > 20) + 1
     )  # a lookup is open in both
     (two := tmp_path / "two").mkdir()
     for part in (rows[:split_at], rows[split_at:]):
-        log = TraceLog(str(two), s.start.name, 8_000_000, header + b"\n")
+        log = TraceLog(str(two), scene.start.name, 8_000_000, header + b"\n")
         log.write(b"\n".join([*part, b""]))
         log.close()
     assert main(["trace", "account", str(two), "--json"]) == 0
