--- a/hookrouter/trace/replay.py
+++ b/hookrouter/trace/replay.py
@@ -31,7 +31,7 @@
         effects = self.control.decide(row.at, [event_from(row)])
         self.rows += 1
         if [[type(effect).__name__, as_json(effect)] for effect in effects] != [
-            list(effect[:2]) for effect in row.effects
+            list(recorded[:2]) for recorded in row.effects
         ]:
             self.different += 1
             if len(self.differences) < self.max_differences:
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -152,8 +152,11 @@
         0,
     )
     for now in range(BORN, BORN + cold_duration, 10 * MS):
-        due, pending = [end for end in pending if end[0] <= now], [end for end in pending if end[0] > now]
-        inputs = [(router, [interface.SendEnd(*end)]) for _, router, end in due]
+        due, pending = (
+            [item for item in pending if item[0] <= now],
+            [item for item in pending if item[0] > now],
+        )
+        inputs = [(router, [interface.SendEnd(*fields)]) for _, router, fields in due]
         for _ in range(rng.randrange(6)):
             number += 1
             router = rng.choices(range(routers), rates)[0]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -24,7 +24,7 @@
     queue = [interface.CacheList(interface.REMEMBERED, FLEET)]
     number = 0
     done = set()  # answered, although the router may not know it yet
-    while number < lookups or pending or any(not entry["answered"] for entry in model.lookups.values()):
+    while number < lookups or pending or any(not other["answered"] for other in model.lookups.values()):
         checked = []
         for event in queue:
             model.observe(now, event)
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -193,9 +193,9 @@
     ends = [(ended.outcome, account.cause(ended)) for ended in account.ended_lookups]
     assert ("late", "its fill, others there were quick") in ends and ("open", "router ended") in ends
     assert ("in budget", "own copy") in ends and ends.count(("nacked", "fills")) == 2
-    assert [ended.outcome for ended in account.ended_lookups].count("late") == 1 and account.by_kind()[
-        "clip"
-    ][0] == 10
+    assert [row.outcome for row in account.ended_lookups].count("late") == 1 and account.by_kind()["clip"][
+        0
+    ] == 10
     assert account.skipped == 0 and account.sends()["held", "satisfied"] == (1, 500)
     assert sum(count for _, count, *_ in account.by_second()) == 10 and not any(
         account.in_flight_by_cache.values()
