--- a/hookrouter/control/lookups.py
+++ b/hookrouter/control/lookups.py
@@ -27,10 +27,10 @@
     def step(self, lookup, event):
         """Applies an input to a lookup, and each further input that the action of a transition returns."""
         while event is not None:
-            lookup.state, effect = LOOKUP_TABLE[lookup.state, event]
-            event = effect(self, lookup)
+            lookup.state, action = LOOKUP_TABLE[lookup.state, event]
+            event = action(self, lookup)
 
-    def _no_effect(self, lookup):
+    def _no_action(self, lookup):
         """The transition has no action."""
 
     def _try_send(self, lookup):
@@ -148,18 +148,18 @@
 # (state, input) -> (next state, action); an action may return a further input.
 LOOKUP_TABLE = {
     (NEW, ARRIVED): (PLACING, Lookups._try_send),
-    (PLACING, SENT): (IN_FLIGHT, Lookups._no_effect),
+    (PLACING, SENT): (IN_FLIGHT, Lookups._no_action),
     (PLACING, ANSWERED): (ENDED, Lookups._settle),
     (PLACING, NO_SEND): (ENDED, Lookups._give_up),
     (IN_FLIGHT, FAILED): (PLACING, Lookups._try_send),
     (IN_FLIGHT, OVERRUN): (DUPLICATING, Lookups._try_send),
     (IN_FLIGHT, SETTLED): (ENDED, Lookups._settle),
     (IN_FLIGHT, DUE): (ENDED, Lookups._give_up),
-    (DUPLICATING, SENT): (DUPLICATED, Lookups._no_effect),
-    (DUPLICATING, NO_SEND): (IN_FLIGHT, Lookups._no_effect),
+    (DUPLICATING, SENT): (DUPLICATED, Lookups._no_action),
+    (DUPLICATING, NO_SEND): (IN_FLIGHT, Lookups._no_action),
     (DUPLICATING, ANSWERED): (ENDED, Lookups._settle),
-    (DUPLICATED, FAILED): (IN_FLIGHT, Lookups._no_effect),
-    (DUPLICATED, OVERRUN): (DUPLICATED, Lookups._no_effect),
+    (DUPLICATED, FAILED): (IN_FLIGHT, Lookups._no_action),
+    (DUPLICATED, OVERRUN): (DUPLICATED, Lookups._no_action),
     (DUPLICATED, SETTLED): (ENDED, Lookups._settle),
     (DUPLICATED, DUE): (ENDED, Lookups._give_up),
 }
