--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -66,7 +66,7 @@
 
 def test_control_uses_reported_load_and_decides_alone_without_reports():
     made = spread()
-    control = Control(1, terms(), told=made)
+    control = Control(1, terms(), fleet_view=made)
     control.decide(NOW, [interface.CacheList(interface.REMEMBERED, tuple(cache(f"c{n}") for n in range(4)))])
     assert made.others("c0", NOW) is None
     for n in range(4):
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""The trace of decisions: written under load and faults, read back, made again, and counted."""
+"""The trace of decisions: written under load and faults, read back, replayed, and accounted."""
 
 import json
 import os
@@ -16,66 +16,66 @@
 from hookrouter.node.tracing import BLOCK
 from hookrouter.stores.trace_log import SEGMENTS, TraceLog, lines, segments
 from hookrouter.trace import Account, Replay, Row, UnreadableTrace, read_header, read_row
-from hookrouter.trace.rows import MOST_LINE, Header, KindRow, belief
+from hookrouter.trace.rows import MAX_LINE, Header, KindRow, known_load
 
 
-def traced(folder):
+def traced_scene(folder):
     return Scene(folder, trace={"folder": str(folder), "size": 8_000_000})
 
 
-def read(folder):
-    found = []
+def read_traces(folder):
+    runs = []
     for _, path in segments(str(folder)):
-        whole = list(lines(path))
-        found.append((read_header(whole[0]), [read_row(line) for line in whole[1:]]))
-    return found
-
-
-def busy(s, count, seed=1):
-    """Lookups that are satisfied, fail, are left or go silent."""
-    chance, wire = Random(seed), s.client()
-    for n in range(1, count + 1):
-        wire.come(message(n, part=str(n % 4), lookup=f"{chance.randrange(20):016x}"))
-        s.net.advance(0.02)
-        for way in list(s.net.ways):
-            if way.over:
+        content = list(lines(path))
+        runs.append((read_header(content[0]), [read_row(line) for line in content[1:]]))
+    return runs
+
+
+def play_lookups(scene, count, seed=1):
+    """Sends lookups that are satisfied, fail, or get no answer."""
+    rng, wire = Random(seed), scene.client()
+    for number in range(1, count + 1):
+        wire.come(message(number, part=str(number % 4), lookup=f"{rng.randrange(20):016x}"))
+        scene.net.advance(0.02)
+        for connector in list(scene.net.ways):
+            if connector.over:
                 continue
-            line = way.up()
-            if line.take() and (luck := chance.random()) < 0.8:
+            line = connector.up()
+            if line.take() and (draw := rng.random()) < 0.8:
                 line.come(
                     answer(200, b"x" * 200)
-                    if luck < 0.7
+                    if draw < 0.7
                     else answer(503, b"", b"X-Declined: 1")
-                    if luck < 0.75
+                    if draw < 0.75
                     else answer(500, b"")
                 )
-    s.net.pump([0.2] * 30)
+    scene.net.pump([0.2] * 30)
 
 
-def test_what_was_decided_is_read_back_and_made_again_by_the_same_build(tmp_path):
-    s = traced(tmp_path)
-    busy(s, 200)
-    assert s.router.trace.recorder.size < BLOCK + MOST_LINE  # what waits for the disk is bounded
-    s.router.trace.close()
-    ((header, rows),) = read(tmp_path)
+def test_decisions_are_read_back_and_a_replay_by_the_same_build_repeats_them(tmp_path):
+    scene = traced_scene(tmp_path)
+    play_lookups(scene, 200)
+    assert scene.router.trace.recorder.size < BLOCK + MAX_LINE  # the lines not yet written are bounded
+    scene.router.trace.close()
+    ((header, rows),) = read_traces(tmp_path)
     assert (
-        header.router == s.start.name
+        header.router == scene.start.name
         and len(rows) > 120
         and {row.event for row in rows} >= {"CacheList", "Lookup", "SendEnd", "Alarm"}
     )
     assert all(row.ref for row in rows if row.event == "Lookup")
     replay = Replay(header)
     for row in rows:
-        replay.take(row)
+        replay.play(row)
     assert replay.rows == len(rows) and replay.different == 0
     header.seed = "other"
     other = Replay(header)
     for row in rows:
-        other.take(row)
-    assert other.different > 0 and other.differences  # a nack's time to come back is drawn
+        other.play(row)
+    assert other.different > 0 and other.differences  # the retry time of a nack is random
 
 
-def test_the_oldest_goes_and_a_new_life_goes_on_behind_the_old_one(tmp_path):
+def test_the_oldest_segment_is_removed_and_a_new_run_continues_the_numbers(tmp_path):
     log = TraceLog(str(tmp_path), "n1", 80_000, b"{}\n")
     for _ in range(200):
         log.write(os.urandom(4_000).hex().encode() + b"\n")
@@ -92,45 +92,47 @@
     )
 
 
-def test_whatever_a_crash_or_the_disk_leaves_what_is_before_it_is_read(tmp_path):
+def test_rows_before_damage_by_a_crash_or_the_disk_are_read(tmp_path):
     log = TraceLog(str(tmp_path), "n1", 1_000_000, b"{}\n")
-    for n in range(50):
-        log.write(b"[%d]\n" % n * 20)
+    for number in range(50):
+        log.write(b"[%d]\n" % number * 20)
     log.close()
     ((_, path),) = segments(str(tmp_path))
-    whole, good = open(path, "rb").read(), list(lines(path))
-    chance = Random(5)
+    content, complete = open(path, "rb").read(), list(lines(path))
+    rng = Random(5)
     for _ in range(60):
-        at = chance.randrange(1, len(whole))
-        spoilt = (
-            whole[:at] if chance.random() < 0.5 else whole[:at] + bytes((whole[at] ^ 0x40,)) + whole[at + 1 :]
+        at = rng.randrange(1, len(content))
+        damaged = (
+            content[:at]
+            if rng.random() < 0.5
+            else content[:at] + bytes((content[at] ^ 0x40,)) + content[at + 1 :]
         )
-        open(path, "wb").write(spoilt)
-        got = []
+        open(path, "wb").write(damaged)
+        read_back = []
         try:
             for line in lines(path):
-                got.append(line)
-        except ValueError as wrong:
-            assert path in str(wrong)
-        assert got == good[: len(got)]
+                read_back.append(line)
+        except ValueError as error:
+            assert path in str(error)
+        assert read_back == complete[: len(read_back)]
 
 
 @pytest.mark.parametrize(
-    "line", [b"", b"{}", b"[1]", b"[1,2,3,4,5]", b"\xff", b"[" * 90_000, b"9" * (MOST_LINE + 1)]
+    "line", [b"", b"{}", b"[1]", b"[1,2,3,4,5]", b"\xff", b"[" * 90_000, b"9" * (MAX_LINE + 1)]
 )
-def test_lines_that_are_none_are_refused(line):
+def test_lines_that_are_not_of_a_trace_are_refused(line):
     for reader in (read_row, read_header):
         with pytest.raises(UnreadableTrace):
             reader(line)
 
 
-def test_a_full_disk_ends_the_trace_and_not_the_router(tmp_path):
-    s = traced(tmp_path)
-    s.router.trace.store.file = open("/dev/full", "wb")  # refuses when flushed, and again when closed
-    busy(s, 20)
-    assert s.counters.values["traces_failed"] == 1 and "trace cannot be written" in s.out.text
-    assert s.adds_up()["lookups_held"] == 0
-    s.router.trace.close()
+def test_a_full_disk_ends_the_trace_but_not_the_router(tmp_path):
+    scene = traced_scene(tmp_path)
+    scene.router.trace.store.file = open("/dev/full", "wb")  # fails when flushed, and again when closed
+    play_lookups(scene, 20)
+    assert scene.counters.values["traces_failed"] == 1 and "trace cannot be written" in scene.out.text
+    assert scene.adds_up()["lookups_held"] == 0
+    scene.router.trace.close()
 
 
 # ---- the account
@@ -138,9 +140,9 @@
 HEADER = Header("r1", "0", 0.5, [KindRow("clip", 6_000, 1.6, 50_000, 2.0, 0.15)], 0, 1, [], False)
 
 
-def told(account, router, rows):
+def add_rows(account, router, rows):
     for at, event, *effects in rows:
-        said = [
+        effects_in_trace = [
             [
                 type(e).__name__,
                 list(e),
@@ -148,95 +150,100 @@
             ]
             for e in effects
         ]
-        account.take(router, Row(at, type(event).__name__, list(event), said, "ref"))
+        account.add(router, Row(at, type(event).__name__, list(event), effects_in_trace, "ref"))
 
 
-def ask_of(n, cache="c0", source="p0", held=False):
-    return interface.Obtain(n, cache, source, 30_000, 0, 1, True, held, False, False)
+def obtain(number, cache="c0", source="p0", hits_only=False):
+    return interface.Obtain(number, cache, source, 30_000, 0, 1, True, hits_only, False, False)
 
 
-def came(n, took, end=interface.SATISFIED, cache="c0"):
-    return interface.SendEnd(n, 0, end, 0, end == interface.SATISFIED, took, cache, None)
+def send_end(number, duration, outcome=interface.SATISFIED, cache="c0"):
+    return interface.SendEnd(number, 0, outcome, 0, outcome == interface.SATISFIED, duration, cache, None)
 
 
-def test_each_lookup_is_counted_once_and_laid_to_its_cause():
+def test_each_lookup_is_counted_once_with_its_cause():
     account = Account()
     account.begin(HEADER)
-    clip = lambda n: interface.Lookup(n, "clip", "k", 0, 1, 500.0, 60_000, False)  # noqa: E731, 1,000 units to send
-    told(
+    # Sending time: 1,000 time units.
+    request = lambda number: interface.Lookup(number, "clip", "k", 0, 1, 500.0, 60_000, False)  # noqa: E731
+    add_rows(
         account,
         "r1",
         [
-            (0, clip(1), ask_of(1)),
-            (900, came(1, 900)),
-            (1_000, clip(2), ask_of(2)),
-            (11_000, came(2, 10_000)),  # late while others there were quick
-            (10_100, clip(3), ask_of(3)),
-            (11_200, came(3, 1_100)),
-            (10_200, clip(4), ask_of(4)),
-            (11_300, came(4, 1_100)),
-            (12_000, clip(5), interface.Nack(5, 900, "fills")),
-            (13_000, clip(6), ask_of(6)),
+            (0, request(1), obtain(1)),
+            (900, send_end(1, 900)),
+            (1_000, request(2), obtain(2)),
+            (11_000, send_end(2, 10_000)),  # late while other answers of the cache were quick
+            (10_100, request(3), obtain(3)),
+            (11_200, send_end(3, 1_100)),
+            (10_200, request(4), obtain(4)),
+            (11_300, send_end(4, 1_100)),
+            (12_000, request(5), interface.Nack(5, 900, "fills")),
+            (13_000, request(6), obtain(6)),
             (14_000, interface.ClientGone(6)),
-            (15_000, clip(7), interface.Give(7)),
-            (16_000, clip(8), ask_of(8, held=True)),
-            (16_010, came(8, 10, interface.MISSING), interface.Nack(8, 900, "fills")),
-            (17_000, clip(9), ask_of(9)),
-            (18_000, clip(10), interface.Ask(10, "c0", 900, 400)),
-            (18_500, came(10, 500)),  # without a source, as writes go
+            (15_000, request(7), interface.Give(7)),
+            (16_000, request(8), obtain(8, hits_only=True)),
+            (16_010, send_end(8, 10, interface.MISSING), interface.Nack(8, 900, "fills")),
+            (17_000, request(9), obtain(9)),
+            (18_000, request(10), interface.Ask(10, "c0", 900, 400)),
+            (18_500, send_end(10, 500)),  # without a source, as writes are sent
         ],
     )
-    account.begin(HEADER)  # the router was started anew: the ninth has no end
-    ends = [(end.outcome, account.cause(end)) for end in account.ends]
+    account.begin(HEADER)  # the router was restarted: the ninth lookup has no end
+    ends = [(ended.outcome, account.cause(ended)) for ended in account.ended_lookups]
     assert ("late", "its fill, others there were quick") in ends and ("open", "router ended") in ends
     assert ("in budget", "own copy") in ends and ends.count(("nacked", "fills")) == 2
-    assert [e.outcome for e in account.ends].count("late") == 1 and account.by_kind()["clip"][0] == 10
+    assert [row.outcome for row in account.ended_lookups].count("late") == 1 and account.by_kind()["clip"][
+        0
+    ] == 10
     assert account.skipped == 0 and account.sends()["held", "satisfied"] == (1, 500)
-    assert sum(count for _, count, *_ in account.by_second()) == 10 and not any(account.at_cache.values())
+    assert sum(count for _, count, *_ in account.by_second()) == 10 and not any(
+        account.in_flight_by_cache.values()
+    )
     assert account.lost()[0][0] == ("clip", "nacked", "fills") and account.lost()[0][1] == 2
     assert account.sends()["held", "missing"] == (1, 10)
 
 
-def test_large_objects_are_held_against_the_rest_of_their_kind():
+def test_large_objects_are_compared_with_the_rest_of_their_kind():
     account = Account()
     account.begin(HEADER)
     rows = []
-    for n in range(
+    for number in range(
         400
     ):  # of the 40 largest every second is answered, of the 80 after them three in four, then all
-        size = 1_000.0 - n
-        good = n % 2 == 0 if n < 40 else n % 4 != 0 if n < 120 else True
+        size = 1_000.0 - number
+        answered = number % 2 == 0 if number < 40 else number % 4 != 0 if number < 120 else True
         rows.append(
             (
-                n,
-                interface.Lookup(n, "clip", "k", 0, 1, size, 60_000, False),
-                interface.Give(n) if good else interface.Nack(n, 900, "fills"),
+                number,
+                interface.Lookup(number, "clip", "k", 0, 1, size, 60_000, False),
+                interface.Give(number) if answered else interface.Nack(number, 900, "fills"),
             )
         )
-    told(account, "r1", rows)
-    count, whole, largest, after = account.by_size()["clip"]
+    add_rows(account, "r1", rows)
+    count, overall, largest, next_largest = account.by_size()["clip"]
     assert (
-        (count, whole) == (400, 0.9)
+        (count, overall) == (400, 0.9)
         and largest == pytest.approx(0.5 / 0.9)
-        and after == pytest.approx(0.75 / 0.9)
+        and next_largest == pytest.approx(0.75 / 0.9)
     )
-    account.ends = [end._replace(size=0.0) for end in account.ends]
+    account.ended_lookups = [ended._replace(size=0.0) for ended in account.ended_lookups]
     assert account.by_size() == {}
 
 
-def test_rows_of_another_version_are_left_out_and_the_rest_counts():
+def test_rows_of_another_version_are_skipped_and_the_rest_counts():
     account = Account()
     account.begin(HEADER)
-    account.take("r1", Row(1, "Lookup", [1], [], None))
-    account.take("r1", Row(1, "Unheard", [], [["Obtain", [], None]], None))
-    assert account.skipped == 2 and not account.ends
+    account.add("r1", Row(1, "Lookup", [1], [], None))
+    account.add("r1", Row(1, "Unheard", [], [["Obtain", [], None]], None))
+    assert account.skipped == 2 and not account.ended_lookups
 
 
 def test_the_commands_follow_a_lookup_and_account_for_a_trace(tmp_path, capsys):
-    s = traced(tmp_path)
-    busy(s, 40)
-    s.router.trace.close()
-    ref = next(row.ref for row in read(tmp_path)[0][1] if row.event == "Lookup")
+    scene = traced_scene(tmp_path)
+    play_lookups(scene, 40)
+    scene.router.trace.close()
+    ref = next(row.ref for row in read_traces(tmp_path)[0][1] if row.event == "Lookup")
     assert main(["trace", "show", str(tmp_path), "--lookup", ref, "--json"]) == 0
     shown = [json.loads(line) for line in capsys.readouterr().out.splitlines()]
     assert shown[0][2] == "Lookup" and shown[0][5] == ref and len(shown) >= 1
@@ -244,17 +251,17 @@
     counted = json.loads(capsys.readouterr().out)
     assert counted["skipped"] == 0 and counted["lookups"] == 40
     ((_, path),) = segments(str(tmp_path))
-    header, *rest = list(lines(path))
-    cut = (
-        next(n for n, line in enumerate(rest) if b"Lookup" in line and n > 20) + 1
-    )  # one is open across the two
+    header, *rows = list(lines(path))
+    split_at = (
+        next(number for number, line in enumerate(rows) if b"Lookup" in line and number > 20) + 1
+    )  # a lookup is open in both
     (two := tmp_path / "two").mkdir()
-    for part in (rest[:cut], rest[cut:]):
-        log = TraceLog(str(two), s.start.name, 8_000_000, header + b"\n")
+    for part in (rows[:split_at], rows[split_at:]):
+        log = TraceLog(str(two), scene.start.name, 8_000_000, header + b"\n")
         log.write(b"\n".join([*part, b""]))
         log.close()
     assert main(["trace", "account", str(two), "--json"]) == 0
-    assert json.loads(capsys.readouterr().out) == counted  # a life in two segments is one
+    assert json.loads(capsys.readouterr().out) == counted  # a run in two segments counts as one
     assert main(["trace", "replay", str(two)]) == 0
     assert main(["trace", "account", str(tmp_path)]) == 0 and "utility %" in capsys.readouterr().out
     assert main(["trace", "replay", str(tmp_path)]) == 0
@@ -269,9 +276,9 @@
     assert "Traceback" not in capsys.readouterr().err
 
 
-def test_beliefs_are_of_the_caches_that_a_send_names():
+def test_known_load_is_of_the_caches_that_a_send_names():
     control = Control(1, terms())
     control.decide(1_000_000, [interface.CacheList(interface.REMEMBERED, (*CACHES, cache_of("c5")))])
     send = sends(control.decide(1_000_000, [lookup(1)]))[0]
-    out, room, feeding, _ = belief(control, send)
-    assert (out, feeding) == (1, 1) and room == float("inf")
+    in_flight, window, upstream_in_flight, _ = known_load(control, send)
+    assert (in_flight, upstream_in_flight) == (1, 1) and window == float("inf")
