--- a/benchmarks/capacity/measure_tables.py
+++ b/benchmarks/capacity/measure_tables.py
@@ -10,10 +10,10 @@
 import msgspec
 
 from hookrouter.decisions.owners import words as owner_words
-from hookrouter.decisions.sharing import Board
-from hookrouter.decisions.sharing import words as sharing_words
+from hookrouter.decisions.sharing import LoadTable
+from hookrouter.decisions.sharing import protocol as sharing_protocol
 from hookrouter.decisions.view import View
-from hookrouter.decisions.view import words as view_words
+from hookrouter.decisions.view import protocol as view_protocol
 from hookrouter.purges import Guard, Purge, PurgeTerms, wire
 from hookrouter.purges.followers import Followers, Renewal
 from hookrouter.purges.tail import Tail
@@ -106,34 +106,34 @@
 
 def roster(size: int, dice: Random) -> View:
     """The view of a member that heard of so many others."""
-    me = view_words.Row("me", 1, "10.0.0.1", 9_300, "zone-1", "router", "0.3.0", 1)
-    view = View(view_words.Terms(), me, SECOND, 1)
+    me = view_protocol.Member("me", 1, "10.0.0.1", 9_300, "zone-1", "router", "0.3.0", 1)
+    view = View(view_protocol.Terms(), me, SECOND, 1)
     rows = [
-        view_words.Row(
+        view_protocol.Member(
             f"r{n:04d}", EPOCH + n, f"10.1.{n >> 8}.{n & 255}", 9_300, "zone-1", "router", "0.3.0", 1
         )
         for n in range(size)
     ]
     for first in range(0, size, ROWS_IN_A_MESSAGE):
-        data = msgspec.msgpack.encode(view_words.Rows(rows[first : first + ROWS_IN_A_MESSAGE]))
-        message = msgspec.msgpack.decode(data, type=view_words.Rows)
-        view.take(SECOND, view_words.Heard(rows[0].name, rows[0].life, rows[0].address, message))
+        data = msgspec.msgpack.encode(view_protocol.MemberList(rows[first : first + ROWS_IN_A_MESSAGE]))
+        message = msgspec.msgpack.decode(data, type=view_protocol.MemberList)
+        view.take(SECOND, view_protocol.Received(rows[0].name, rows[0].life, rows[0].address, message))
     return view
 
 
-def board(size: int, dice: Random) -> Board:
+def board(size: int, dice: Random) -> LoadTable:
     """The merge table of loads with so many rows, a sixteenth of them each teller's, a cache a row."""
-    made = Board(sharing_words.Terms())
+    made = LoadTable(sharing_protocol.Terms())
     for teller in range(TELLERS):
         loads = [
-            sharing_words.Load(f"cache-{n:04d}", "", dice.randrange(1_000), dice.randrange(1_000))
+            sharing_protocol.Load(f"cache-{n:04d}", "", dice.randrange(1_000), dice.randrange(1_000))
             for n in range(size // TELLERS)
         ]
         for number, first in enumerate(range(0, len(loads), ROWS_IN_A_MESSAGE), 1):
             part = loads[first : first + ROWS_IN_A_MESSAGE]
-            block = sharing_words.Block(f"r{teller:04d}", 1, number, 0, 1, number == 1, part)
+            block = sharing_protocol.Report(f"r{teller:04d}", 1, number, 0, 1, number == 1, part)
             made.merge(
-                SECOND, msgspec.msgpack.decode(msgspec.msgpack.encode(block), type=sharing_words.Block)
+                SECOND, msgspec.msgpack.decode(msgspec.msgpack.encode(block), type=sharing_protocol.Report)
             )
     return made
 
--- a/benchmarks/capacity/size.py
+++ b/benchmarks/capacity/size.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass
 
 from hookrouter.decisions.owners.words import Terms as KeeperTerms
-from hookrouter.decisions.sharing.words import Terms as SharingTerms
-from hookrouter.decisions.view.words import Terms as ViewTerms
+from hookrouter.decisions.sharing.protocol import Terms as SharingTerms
+from hookrouter.decisions.view.protocol import Terms as ViewTerms
 from hookrouter.desk.local_store import KEPT, SEALED_AT_ONCE
 from hookrouter.feed.renewals import NEWS_IN_LEASE, RENEWALS
 from hookrouter.purges.catalogue import MOST_UNLISTED
@@ -83,9 +83,9 @@
     election_s: float = KeeperTerms("", 0, ()).most_wait / TENTHS_A_SECOND
     log_entries: int = KeeperTerms("", 0, ()).most_log + KeeperTerms("", 0, ()).lag
     keepers: int = 5
-    tellers: int = SharingTerms().tellers
-    teller_rows: int = SharingTerms().most_caches
-    forget_s: float = ViewTerms().forget / TENTHS_A_SECOND
+    tellers: int = SharingTerms().reporters
+    teller_rows: int = SharingTerms().max_caches
+    forget_s: float = ViewTerms().dead_retention / TENTHS_A_SECOND
     renewals_in_lease: int = RENEWALS
     news_in_lease: int = NEWS_IN_LEASE
 
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -5,8 +5,7 @@
 from random import Random
 from sys import getsizeof
 
-from hookrouter.decisions.sharing import Board
-from hookrouter.decisions.sharing import words as w
+from hookrouter.decisions.sharing import LoadTable, protocol
 
 from . import seeded
 from .sharing_world import SECOND, Node, World, bound, encode, found, lied, sayings, taken_over, trial
@@ -29,7 +28,7 @@
 
 def warm(seed, count):
     """A zone whose members know each other, each with some sends by chance."""
-    world = World(seed, count, caches=CACHES, terms=w.Terms())
+    world = World(seed, count, caches=CACHES, terms=protocol.Terms())
     dice = Random(seed)
     world.look = lambda: None
     world.seen = lambda: None
@@ -39,7 +38,7 @@
         node.core = world.make(world.terms, node.name, 1, dice.randrange(1 << 30))
         node.offset = dice.randrange(1 << 40)
     for node in world.nodes:
-        node.core.take(node.clock(), w.Living(world.zone()))
+        node.core.take(node.clock(), protocol.LivingRouters(world.zone()))
         Node.tick(node, node.generation)
     return world
 
@@ -74,7 +73,7 @@
 
 def kept(core):
     """Bytes of the board and of those it speaks for."""
-    total, seen, left = 0, set(), [core.board.tellers, core.charges.rows]
+    total, seen, left = 0, set(), [core.table.reporters, core.member_loads.rows]
     while left:
         made = left.pop()
         if id(made) in seen:
@@ -95,7 +94,7 @@
     is the teller who speaks for most.
     """
     world = warm(seed, count)
-    counts = world.nodes[0].core.counts_of
+    counts = world.nodes[0].core.member_counts
     name = max(counts, key=lambda teller: (counts[teller], teller))
     world.by_name[name].liar = "loud"
     world.run(8)
@@ -132,8 +131,8 @@
         loads = [poisson(dice, SPARSE) / 2 for _ in range(count)]
         for name, way in (("bottom_k", bottom_k), ("minima", minima)):
             errors[name].append(abs(way(dice, loads) - sum(loads)) / sum(loads))
-    loads = [w.Load(f"edge-{n}", "", 12, 150) for n in range(CACHES)]
-    block = len(encode(w.Block("router-100", 1_796_175_171_558, 1_000, 900, 1, True, loads)))
+    loads = [protocol.Load(f"edge-{n}", "", 12, 150) for n in range(CACHES)]
+    block = len(encode(protocol.Report("router-100", 1_796_175_171_558, 1_000, 900, 1, True, loads)))
     honest = [poisson(dice, SPARSE) / 2 for _ in range(count)]
     lying = minima(dice, [*honest, 1e6]) / sum(honest) - 1
     return {
@@ -160,14 +159,14 @@
 
 def crowd(seed):
     """A larger zone under faults, with its tellers as they are: sixteen."""
-    return len(trial(seed, count=40, terms=w.Terms()))
+    return len(trial(seed, count=40, terms=protocol.Terms()))
 
 
 def laws(seed):
     """Whether blocks merged in any order, grouping and number come to one board."""
-    dice, terms = Random(seed), w.Terms(tellers=4, most_caches=8)
+    dice, terms = Random(seed), protocol.Terms(reporters=4, max_caches=8)
     blocks = [
-        w.Block(
+        protocol.Report(
             f"r{dice.randrange(8)}",
             dice.randrange(2),
             dice.randrange(6),
@@ -175,7 +174,7 @@
             dice.randrange(1, 4),
             dice.random() < 0.5,
             [
-                w.Load(f"c{dice.randrange(10)}", "", dice.randrange(100), dice.randrange(100))
+                protocol.Load(f"c{dice.randrange(10)}", "", dice.randrange(100), dice.randrange(100))
                 for _ in range(dice.randrange(5))
             ],
         )
@@ -184,21 +183,22 @@
     blocks = sayings(blocks)
 
     def merged(rows):
-        board = Board(terms)
+        board = LoadTable(terms)
         for row in rows:
             board.merge(1_000_000, row)
         return board
 
     def state(board):
         return {
-            name: (t.life, t.number, t.floor, t.borns, t.count, t.rows) for name, t in board.tellers.items()
+            name: (t.life, t.number, t.complete_number, t.report_times, t.member_count, t.loads)
+            for name, t in board.reporters.items()
         }
 
     whole = state(merged(blocks))
     for _ in range(5):
         dice.shuffle(blocks)
         half = merged(blocks[:20])
-        said = [row for name in half.tellers for row in half.blocks(1_000_000, name)]
+        said = [row for name in half.reporters for row in half.reports(1_000_000, name)]
         if not whole == state(merged(blocks + blocks[:9])) == state(merged(blocks[20:] + said + said)):
             return False
     return True
--- a/benchmarks/sharing_world.py
+++ b/benchmarks/sharing_world.py
@@ -6,11 +6,10 @@
 
 import msgspec
 
-from hookrouter.decisions.sharing import soft
-from hookrouter.decisions.sharing import words as w
-from hookrouter.decisions.sharing.bounds import share_of
+from hookrouter.decisions.sharing import protocol, soft_state
+from hookrouter.decisions.sharing.bounds import allowed_share
 from hookrouter.decisions.sharing.exchange import Exchange
-from hookrouter.decisions.sharing.speakers import speakers_of
+from hookrouter.decisions.sharing.reporters import assign_reporters
 from hookrouter.lab.engine import Engine
 
 SECOND = 10_000
@@ -22,8 +21,8 @@
 STRIKES = 3  # in a row set a cache aside (the control's FAILURES)
 
 encode = msgspec.msgpack.Encoder().encode
-EIGHT = w.Terms(tellers=8)
-SMALL = w.Terms(tellers=4)  # so five routers have one who is spoken for
+EIGHT = protocol.Terms(reporters=8)
+SMALL = protocol.Terms(reporters=4)  # so five routers have one who is spoken for
 
 
 class Node:
@@ -41,7 +40,7 @@
         self.core = self.world.make(self.world.terms, self.name, self.life, dice.randrange(1 << 30))
         self.said, self.held = {}, set()
         self.world.seen()
-        self.core.take(self.clock(), w.Living(self.world.zone()))
+        self.core.take(self.clock(), protocol.LivingRouters(self.world.zone()))
         self.tick(self.generation)
 
     def kill(self):
@@ -52,19 +51,19 @@
     def tick(self, generation):
         if generation != self.generation or not self.up:
             return
-        self.take(w.Own(tuple((cache, "", *load) for cache, load in sorted(self.loads.items()))))
-        self.take(w.Tick())
+        self.take(protocol.OwnLoads(tuple((cache, "", *load) for cache, load in sorted(self.loads.items()))))
+        self.take(protocol.Tick())
         self.world.engine.after(max(1, self.core.alarm() - self.clock()), self.tick, generation)
 
     def take(self, event):
         for effect in self.core.take(self.clock(), event):
-            if isinstance(effect, w.Send):
+            if isinstance(effect, protocol.Send):
                 self.world.send(self, effect)
-        teller = self.core.board.tellers.get(self.name)
+        teller = self.core.table.reporters.get(self.name)
         if teller is not None and self.liar is None:
             self.world.truth.setdefault(
                 (self.name, self.life, teller.number),
-                ({key: row[1:] for key, row in teller.rows.items()}, self.world.engine.now),
+                ({key: row[1:] for key, row in teller.loads.items()}, self.world.engine.now),
             )
 
 
@@ -91,7 +90,7 @@
     def _tell_view(self):
         zone = self.zone()
         for node in self.up():
-            node.take(w.Living(zone))
+            node.take(protocol.LivingRouters(zone))
 
     def up(self):
         return [node for node in self.nodes if node.up]
@@ -112,7 +111,7 @@
 
     def arrive(self, to, name, life, message):
         if to.up:
-            to.take(w.Heard(name, life, message))
+            to.take(protocol.Received(name, life, message))
 
     def run(self, seconds):
         """In looks of 100 ms."""
@@ -128,16 +127,16 @@
     def look(self):
         late = self.terms.silent_after + 6 * SECOND
         for node in self.up():
-            board = node.core.board
+            board = node.core.table
             if node.clock() < node.core.now:
                 continue  # its clock went back, and it has not looked at it yet
-            if len(board.tellers) > self.terms.tellers:
+            if len(board.reporters) > self.terms.reporters:
                 self.broke("more tellers than are kept", node)
-            for name, teller in board.tellers.items():
+            for name, teller in board.reporters.items():
                 rows, when = self.truth.get((name, teller.life, teller.number), (None, 0))
                 if self.by_name[name].liar is not None or any(n.liar for n in self.nodes):
                     continue
-                if rows is None or any(rows.get(key) != row[1:] for key, row in teller.rows.items()):
+                if rows is None or any(rows.get(key) != row[1:] for key, row in teller.loads.items()):
                     self.broke(f"a row of {name} that it never said so", node)
                 elif self.engine.now - when > late:
                     self.broke(f"a row of {name} is kept for ever", node)
@@ -147,7 +146,7 @@
                 elif life == teller.life and name in node.held and number > teller.number:
                     self.broke(f"an earlier saying of {name} is back", node)
                 node.said[name] = max((life, number), (teller.life, teller.number))
-            node.held = set(board.tellers)
+            node.held = set(board.reporters)
             if len(node.core.zone) > 1:
                 self.step(node)
 
@@ -155,9 +154,9 @@
         """A sum that is cut off falls without a step."""
         node.core.now = max(node.core.now, node.clock())
         summary = node.core.summary("c0")
-        value = summary.others_out if summary else 0.0
+        value = summary.others_in_flight if summary else 0.0
         key = tuple(
-            sorted((name, t.number) for name, t in node.core.board.tellers.items() if name != node.name)
+            sorted((name, t.number) for name, t in node.core.table.reporters.items() if name != node.name)
         )
         before, same, top = getattr(node, "sum", (0.0, None, 1.0))
         alone = all((name, node.name) in self.cuts for name in self.by_name if name != node.name)
@@ -177,8 +176,8 @@
                 if others == 0:
                     continue
                 want = self.exact(node, cache, 0)
-                if summary is None or abs(summary.others_out - want) > share * want + 0.02 * others:
-                    got = None if summary is None else round(summary.others_out, 2)
+                if summary is None or abs(summary.others_in_flight - want) > share * want + 0.02 * others:
+                    got = None if summary is None else round(summary.others_in_flight, 2)
                     self.broke(f"{cache}: {got} for {want:.2f}", node)
 
     def bounded(self):
@@ -186,7 +185,7 @@
         for node in self.up():
             if node.liar:
                 continue
-            speakers = speakers_of(node.core.zone, node.core.tellers)
+            speakers = assign_reporters(node.core.zone, node.core.reporters)
             liar = next(other for other in self.nodes if other.liar)
             told_by = speakers.get(liar.name)  # its own group may cut it lower, never raise it
             part = sum(speaks == told_by for speaks in speakers.values()) / (len(speakers) - 1)
@@ -196,42 +195,46 @@
                     honest = sum(
                         other.loads[cache][0] for other in self.up() if other is not node and not other.liar
                     )
-                    if summary.others_out > bound(self.terms, honest, part) + 0.1:
-                        self.broke(f"{cache}: a liar moved {honest:.2f} to {summary.others_out:.2f}", node)
+                    if summary.others_in_flight > bound(self.terms, honest, part) + 0.1:
+                        self.broke(
+                            f"{cache}: a liar moved {honest:.2f} to {summary.others_in_flight:.2f}", node
+                        )
 
 
 def bound(terms, honest, part, floor=None):
     """What a sum can be with one liar whose teller speaks for that part of the others."""
-    share = share_of(terms.share, part)
-    return max(honest / (1 - share) if share < 1 else float("inf"), honest + (floor or terms.floor_out))
+    share = allowed_share(terms.max_share, part)
+    return max(honest / (1 - share) if share < 1 else float("inf"), honest + (floor or terms.floor_in_flight))
 
 
 def lie(node, message):
     """loud: a million times its load, for thousands. fresh: all news is of now. ahead: numbers of others."""
 
     def block(row):
-        own = row.teller == node.name
+        own = row.reporter == node.name
         if node.liar == "loud" and own:
-            loads = [w.Load(x.cache, x.source, w.MOST_LOAD, w.MOST_LOAD) for x in row.loads]
-            return msgspec.structs.replace(row, loads=loads, count=max(1, row.count))
+            loads = [
+                protocol.Load(x.cache, x.source, protocol.MOST_LOAD, protocol.MOST_LOAD) for x in row.loads
+            ]
+            return msgspec.structs.replace(row, loads=loads, member_count=max(1, row.member_count))
         if node.liar == "fresh":
             return msgspec.structs.replace(row, age=0)
         if node.liar == "ahead" and not own:
             return msgspec.structs.replace(row, number=row.number + (1 << 40), loads=[])
         return row
 
-    if isinstance(message, w.Told):
-        return w.Told([block(row) for row in message.blocks])
-    return w.Charge(block(message.block)) if isinstance(message, w.Charge) else message
+    if isinstance(message, protocol.ReportList):
+        return protocol.ReportList([block(row) for row in message.reports])
+    return protocol.Delegation(block(message.report)) if isinstance(message, protocol.Delegation) else message
 
 
 def sayings(blocks):
     """The same with one content for each number of a process, at whatever age."""
     said = {}
     for block in blocks:
-        said.setdefault((block.teller, block.life, block.number), block)
+        said.setdefault((block.reporter, block.life, block.number), block)
     return [
-        msgspec.structs.replace(said[block.teller, block.life, block.number], age=block.age)
+        msgspec.structs.replace(said[block.reporter, block.life, block.number], age=block.age)
         for block in blocks
     ]
 
@@ -256,7 +259,7 @@
     alone = dice.choice(world.up())
     world.cuts = {(node.name, alone.name) for node in world.nodes if node is not alone}
     world.run(terms.silent_after / SECOND + 2)
-    if alone.core.summary("c0") is not None and alone.core.speaker != alone.name:
+    if alone.core.summary("c0") is not None and alone.core.own_reporter != alone.name:
         world.broke("old news goes on to count", alone)
     return world.breaks
 
@@ -302,13 +305,13 @@
     return world.breaks
 
 
-def taken_over(seed, adopted=soft.adopted):
+def taken_over(seed, adopted=soft_state.adopted):
     """Whether told evidence alone sets a cache aside."""
     dice = Random(seed)
     told = [
-        soft.Learnt(
+        soft_state.SoftState(
             [
-                w.Soft(
+                protocol.CacheState(
                     "c0",
                     dice.randrange(1_001),
                     dice.random() < 0.5,
@@ -322,7 +325,7 @@
         )
         for _ in range(dice.randrange(1, 3))
     ]
-    over = adopted(told).strikes.get("c0", 0) >= STRIKES
+    over = adopted(told).failures.get("c0", 0) >= STRIKES
     return ["told evidence alone sets a cache aside"] if over else []
 
 
--- a/benchmarks/spread/ways.py
+++ b/benchmarks/spread/ways.py
@@ -61,7 +61,7 @@
         self.rows = {}
 
     def news(self, now, summary):
-        self.rows[summary.cache] = summary.others_out
+        self.rows[summary.cache] = summary.others_in_flight
 
     def others(self, cache, now):
         return self.rows.get(cache, 0.0)
--- a/benchmarks/spread/world.py
+++ b/benchmarks/spread/world.py
@@ -28,12 +28,12 @@
     """As sharing's."""
 
     cache: str
-    others_out: float
+    others_in_flight: float
     others_rate: float
     age: int
-    tellers: int
-    of: int
-    doubted: bool
+    covered_routers: int
+    other_routers: int
+    uncertain: bool
 
 
 class Plan(NamedTuple):
--- a/benchmarks/view/bench.py
+++ b/benchmarks/view/bench.py
@@ -48,11 +48,11 @@
     world = World(seed, count, together=False, make=make)
     for node in world.nodes:
         node.start()
-    rows = [node.core.me for node in world.nodes]
+    rows = [node.core.local_member for node in world.nodes]
     for node in world.nodes:
         for row in rows:
-            if row.key != node.core.me.key:
-                node.core._put(row, "", (), False)
+            if row.key != node.core.local_member.key:
+                node.core._store(row, "", (), False)
     return world
 
 
--- a/benchmarks/view/nodes.py
+++ b/benchmarks/view/nodes.py
@@ -1,7 +1,6 @@
 """A member of a made-up fleet: its clock, its pauses, what it sends."""
 
-from hookrouter.decisions.view import Row
-from hookrouter.decisions.view import words as w
+from hookrouter.decisions.view import Member, protocol
 
 SECOND = 10_000
 HEAD = 90  # bytes of a datagram beside its rows: seal, names, numbers
@@ -10,8 +9,8 @@
 def size(message):
     return (
         HEAD
-        + sum(row.size() for row in getattr(message, "news", ()))
-        + (5 * w.BUCKETS if isinstance(message, w.Compare) else 0)
+        + sum(row.size() for row in getattr(message, "updates", ()))
+        + (5 * protocol.BUCKETS if isinstance(message, protocol.Compare) else 0)
     )
 
 
@@ -29,9 +28,9 @@
         self.up, self.paused, self.inbox = True, False, []
         self.generation += 1
         self.offset = self.world.dice.randrange(1 << 40)
-        me = Row(self.name, self.life, "h", self.port, self.zone, "router", "0.3", 0)
+        me = Member(self.name, self.life, "h", self.port, self.zone, "router", "0.3", 0)
         self.core = self.world.make(self.world.terms, me, self.clock(), self.world.dice.randrange(1 << 30))
-        self.carry(self.core.take(self.clock(), w.Tick()))
+        self.carry(self.core.take(self.clock(), protocol.Tick()))
 
     def kill(self):
         self.up = False
@@ -48,19 +47,19 @@
             inbox, self.inbox = self.inbox, []
             # What came first is read first, or the alarm is: either may be.
             if self.world.dice.random() < 0.5:
-                self.event(w.Tick())
+                self.event(protocol.Tick())
             for heard in inbox[:200]:
                 self.event(heard)
-            self.event(w.Tick())
+            self.event(protocol.Tick())
 
     def event(self, event):
         self.carry(self.core.take(self.clock(), event))
 
     def carry(self, effects):
         for effect in effects:
-            if isinstance(effect, w.Send):
+            if isinstance(effect, protocol.Send):
                 self.world.send(self, effect)
-            elif isinstance(effect, w.Changed):
+            elif isinstance(effect, protocol.StateChanged):
                 self.world.changed(self, effect)
         self.alarm += 1
         self.world.engine.after(
@@ -69,4 +68,4 @@
 
     def tick(self, generation, alarm):
         if generation == self.generation and alarm == self.alarm and self.up and not self.paused:
-            self.event(w.Tick())
+            self.event(protocol.Tick())
--- a/benchmarks/view/orders.py
+++ b/benchmarks/view/orders.py
@@ -4,8 +4,7 @@
 
 from msgspec.structs import replace
 
-from hookrouter.decisions.view import Row, Terms, View
-from hookrouter.decisions.view import words as w
+from hookrouter.decisions.view import Member, Terms, View, protocol
 
 from .nodes import SECOND
 
@@ -17,26 +16,32 @@
     that X never had; a death ends only by an incarnation above it; X refutes what is said of it; from each
     state, with all rows heard, both think the same of one that lives.
     """
-    x = Row("x", 1, "h", 1, "z", "r", "v", 0)
+    x = Member("x", 1, "h", 1, "z", "r", "v", 0)
 
     def view(name, row):
-        made = make(Terms(), Row(name, 1, "h", 2 if name == "a" else 3, "z", "r", "v", 0), 0, 1)
+        made = make(Terms(), Member(name, 1, "h", 2 if name == "a" else 3, "z", "r", "v", 0), 0, 1)
         if row is not None:
-            made._put(
-                Row("x", 1, "h", 1, "z", "r", "v", row[0], row[1], "b" if row[1] >= w.SUSPECT else ""), "", ()
+            made._store(
+                Member(
+                    "x", 1, "h", 1, "z", "r", "v", row[0], row[1], "b" if row[1] >= protocol.SUSPECT else ""
+                ),
+                "",
+                (),
             )
-            if row[1] == w.SUSPECT:
-                made._suspect(made.rows[x.key], "b")
+            if row[1] == protocol.SUSPECT:
+                made._suspect(made.members[x.key], "b")
         return made
 
     def of(made):
-        row = made.rows.get(x.key)
+        row = made.members.get(x.key)
         return None if row is None else (row.incarnation, row.state)
 
     def said(row):
-        return Row("x", 1, "h", 1, "z", "r", "v", row[0], row[1], "b" if row[1] >= w.SUSPECT else "")
+        return Member(
+            "x", 1, "h", 1, "z", "r", "v", row[0], row[1], "b" if row[1] >= protocol.SUSPECT else ""
+        )
 
-    start = (((0, w.ALIVE), (0, w.ALIVE)), 0, frozenset([(0, w.ALIVE)]))
+    start = (((0, protocol.ALIVE), (0, protocol.ALIVE)), 0, frozenset([(0, protocol.ALIVE)]))
     seen, left = {start}, [start]
     while left:
         if len(seen) > most:
@@ -46,10 +51,10 @@
         for n, name in enumerate("ab"):
             now = thinks[n]
             after = []
-            if now is not None and now[1] < w.SUSPECT:
-                after.append((now[0], w.SUSPECT))
-            if now is not None and now[1] == w.SUSPECT:
-                after.append((now[0], w.DEAD))
+            if now is not None and now[1] < protocol.SUSPECT:
+                after.append((now[0], protocol.SUSPECT))
+            if now is not None and now[1] == protocol.SUSPECT:
+                after.append((now[0], protocol.DEAD))
             for row in rows:
                 made = view(name, now)
                 made.now += 1 << 30  # its suspicions have run for their least time
@@ -65,13 +70,17 @@
                     following.append((both, own, rows | {new}))
         if own < 2:
             for row in rows:
-                made = make(Terms(), Row("x", 1, "h", 1, "z", "r", "v", own), 0, 1)
+                made = make(Terms(), Member("x", 1, "h", 1, "z", "r", "v", own), 0, 1)
                 made._learn(said(row), "c", True)
-                if made.me.incarnation != own:
+                if made.local_member.incarnation != own:
                     following.append(
-                        (thinks, made.me.incarnation, rows | {(made.me.incarnation, made.me.state)})
+                        (
+                            thinks,
+                            made.local_member.incarnation,
+                            rows | {(made.local_member.incarnation, made.local_member.state)},
+                        )
                     )
-                elif row[1] >= w.SUSPECT and row[0] >= own:
+                elif row[1] >= protocol.SUSPECT and row[0] >= own:
                     return len(seen), f"x of incarnation {own} heard {row} and did not refute it", True
         best = max(rows)
         for n, name in enumerate("ab"):
@@ -79,7 +88,7 @@
             made.now += 1 << 30
             for row in sorted(rows) * 2:
                 made._learn(said(row), "c", True)
-            if of(made) != best and best[1] < w.DEAD:
+            if of(made) != best and best[1] < protocol.DEAD:
                 return len(seen), f"{name} heard all of {sorted(rows)} and thinks {of(made)}", True
         for state in following:
             if state not in seen:
@@ -93,13 +102,13 @@
     dice, by_sum = Random(seed), {}
     for _ in range(400):
         rows = [
-            Row(f"n{n}", 1, "h", n + 1, "z", "r", "v", dice.randrange(2), dice.choice((0, 0, 2, 3)))
+            Member(f"n{n}", 1, "h", n + 1, "z", "r", "v", dice.randrange(2), dice.choice((0, 0, 2, 3)))
             for n in range(3)
         ]
-        made = make(Terms(), Row("me", 1, "h", 9, "z", "r", "v", 0), 0, 1)
+        made = make(Terms(), Member("me", 1, "h", 9, "z", "r", "v", 0), 0, 1)
         for row in dice.sample(rows, 3):
-            made._put(row, "", ())
-        same = frozenset((row.name, row.incarnation, row.state) for row in rows if row.state < w.DEAD)
+            made._store(row, "", ())
+        same = frozenset((row.name, row.incarnation, row.state) for row in rows if row.state < protocol.DEAD)
         if by_sum.setdefault(made.digest, same) != same or list(by_sum.values()).count(same) > 1:
             return False
     return True
@@ -109,13 +118,13 @@
     """Whether a member that stood still buries, on waking, one that it had come to suspect just before."""
 
     def row(name, port):
-        return Row(name, 1, "h", port, "z", "r", "v", 0)
+        return Member(name, 1, "h", port, "z", "r", "v", 0)
 
     core = make(Terms(), row("a", 1), 0, 1)
     for name, port in (("b", 2), ("c", 3)):
-        core.take(10, w.Heard(name, 1, ("h", port), w.Rows([row(name, port)])))
-    accused = replace(row("b", 2), state=w.SUSPECT, by="c")
-    core.take(20, w.Heard("c", 1, ("h", 3), w.Rows([accused])))
-    core.take(30, w.Heard("c", 1, ("h", 3), w.Ping(1, 0, [])))  # it has heard somebody since
-    core.take(30 + 20 * SECOND, w.Tick())
-    return core.rows["b", 1].state == w.DEAD
+        core.take(10, protocol.Received(name, 1, ("h", port), protocol.MemberList([row(name, port)])))
+    accused = replace(row("b", 2), state=protocol.SUSPECT, accuser="c")
+    core.take(20, protocol.Received("c", 1, ("h", 3), protocol.MemberList([accused])))
+    core.take(30, protocol.Received("c", 1, ("h", 3), protocol.Ping(1, 0, [])))  # it has heard somebody since
+    core.take(30 + 20 * SECOND, protocol.Tick())
+    return core.members["b", 1].state == protocol.DEAD
--- a/benchmarks/view/trials.py
+++ b/benchmarks/view/trials.py
@@ -2,8 +2,7 @@
 
 from msgspec.structs import replace
 
-from hookrouter.decisions.view import Row, View
-from hookrouter.decisions.view import words as w
+from hookrouter.decisions.view import Member, View, protocol
 
 from .nodes import SECOND
 from .orders import explore, sums_tell, wakes_late
@@ -36,7 +35,7 @@
         world.run(3)
     first, second = world.nodes[7], world.nodes[8]
     second.pause(SECOND)
-    world.until(lambda: second.core.me.key in first.core.suspicions, 2)
+    world.until(lambda: second.core.local_member.key in first.core.suspicions, 2)
     first.pause(10 * SECOND)  # with a suspicion that runs out meanwhile: it looks again before it buries
     world.run(12)
     sleeper = world.nodes[1]
@@ -49,24 +48,28 @@
     victim.kill()
     if world.until(world.agreed, 30) is None:
         broken.append("a death was never agreed")
-    old = w.Heard(
+    old = protocol.Received(
         world.nodes[5].name,
         world.nodes[5].life,
         ("h", world.nodes[5].port),
-        w.Rows([Row(victim.name, victim.life, "h", victim.port, victim.zone, "router", "0.3", 0)]),
+        protocol.MemberList(
+            [Member(victim.name, victim.life, "h", victim.port, victim.zone, "router", "0.3", 0)]
+        ),
     )
     world.nodes[4].event(old)  # news of before its death, come again
     world.run(0.5)
     if any(row.key == (victim.name, victim.life) for row in world.nodes[4].core.alive()):
         broken.append("old news revived a dead one")
-    leaver.event(w.Leave(False))
+    leaver.event(protocol.Leave(False))
     world.run(0.3)
-    leaver.event(w.Leave(True))
+    leaver.event(protocol.Leave(True))
     leaver.kill()
     world.run(6)
-    states = {node.core.rows[leaver.name, leaver.life].state for node in world.up()}
-    if states != {w.LEFT}:
-        broken.append(f"after a planned end it is taken for {[w.STATES[state] for state in sorted(states)]}")
+    states = {node.core.members[leaver.name, leaver.life].state for node in world.up()}
+    if states != {protocol.LEFT}:
+        broken.append(
+            f"after a planned end it is taken for {[protocol.STATES[state] for state in sorted(states)]}"
+        )
     before = len(world.false)
     world.cuts = halves(world)
     world.run(14)
@@ -78,11 +81,11 @@
     broken += [f"buried after the split though it ran: {row}" for row in world.false[before : before + 3]]
     liar = world.nodes[0]
     target = world.nodes[6]
-    row = target.core.me
-    lie = replace(row, state=w.DEAD, by=liar.name)
+    row = target.core.local_member
+    lie = replace(row, state=protocol.DEAD, accuser=liar.name)
     for node in world.up():
         if node not in (liar, target):
-            node.event(w.Heard(liar.name, liar.life, ("h", liar.port), w.Rows([lie])))
+            node.event(protocol.Received(liar.name, liar.life, ("h", liar.port), protocol.MemberList([lie])))
     world.run(0.3)
     if any(row.key not in {r.key for r in node.core.alive()} for node in world.up()):
         broken.append("one liar buried another at once")
--- a/benchmarks/view/world.py
+++ b/benchmarks/view/world.py
@@ -3,8 +3,7 @@
 from collections import Counter
 from random import Random
 
-from hookrouter.decisions.view import Terms, View
-from hookrouter.decisions.view import words as w
+from hookrouter.decisions.view import Terms, View, protocol
 from hookrouter.lab.engine import Engine
 
 from .nodes import SECOND, Node, size
@@ -55,19 +54,19 @@
     def arrive(self, node, to, effect, address, life):
         if not to.up or (effect.name and effect.name != to.name):
             return
-        heard = w.Heard(node.name, life, address, effect.message)
+        heard = protocol.Received(node.name, life, address, effect.message)
         if to.paused:
             to.inbox.append(heard)
         else:
             to.event(heard)
 
     def changed(self, node, changed):
-        row = changed.row
+        row = changed.member
         target = self.by_port[row.port]
-        if row.state == w.DEAD and row.life == target.life and target.up and row.name == target.name:
+        if row.state == protocol.DEAD and row.life == target.life and target.up and row.name == target.name:
             if not self.cut(node, target) and not self.cut(target, node) and not target.paused:
-                self.false.append((self.engine.now, node.name, row.name, changed.why, changed.witnesses))
-        if row.state == w.DEAD:
+                self.false.append((self.engine.now, node.name, row.name, changed.reason, changed.sources))
+        if row.state == protocol.DEAD:
             self.buried.setdefault(row.key, []).append(self.engine.now)
 
     # ---- truth
@@ -106,19 +105,19 @@
         count = Counter(seen.values())
         for node in nodes:
             node.core.now = node.clock()
-            if node.core.settled() is not None:
+            if node.core.settled_since() is not None:
                 reach, same = len(nodes), count[seen[node]]
                 if self.cuts:
                     near = [other for other in nodes if not self.cut(node, other)]
                     reach, same = len(near), sum(seen[other] == seen[node] for other in near)
                 if 2 * same <= reach:
                     since = self.astray.setdefault(node, self.engine.now)
-                    self.false_settled += self.engine.now - since > self.terms.settled_for
+                    self.false_settled += self.engine.now - since > self.terms.settle_duration
                     continue
             self.astray.pop(node, None)
 
     def settled(self):
-        return all(node.core.settled() is not None for node in self.up())
+        return all(node.core.settled_since() is not None for node in self.up())
 
     def run(self, seconds):
         end = self.engine.now + int(seconds * SECOND)
--- a/hookrouter/decisions/sharing/__init__.py
+++ b/hookrouter/decisions/sharing/__init__.py
@@ -1,5 +1,5 @@
-"""What members of a fleet tell each other of load and health, merged within a bound set by caches."""
+"""The loads and soft state that routers share, merged so that no single member moves a sum beyond a bound."""
 
-from .board import Board as Board
-from .words import Summary as Summary
-from .words import Terms as Terms
+from .load_table import LoadTable as LoadTable
+from .protocol import Summary as Summary
+from .protocol import Terms as Terms
--- a/hookrouter/decisions/sharing/bounds.py
+++ b/hookrouter/decisions/sharing/bounds.py
@@ -1,48 +1,51 @@
-"""How much one teller moves: its share of a sum, its age, the numbers it may claim.
+"""Bounds on the effect of one reporter: its share of a sum, the age of its reports, the numbers it may claim.
 
-The cut is a winsorised sum (Tukey, 1962) whose bounds are set by the sum that comes out: S is the largest
-with S = sum of min(claim, share x S), each teller under a share of its own. So one liar of share s has s x S
-at most, and the honest the rest: S <= (what they said) / (1 - s), and it raises their sum by s / (1 - s) of
-it at most, or by the floor, whichever is more. The sum only grows with a claim, so the least that a liar can
-do is to say nothing: then the sum is as if it were not there.
+The capped sum is a winsorised sum (Tukey, 1962) whose caps depend on the result: S is the largest value with
+S = sum of min(claim, share x S), each reporter with a share of its own. So a faulty reporter with share s
+makes up s x S at most and the honest ones the rest: S <= (honest sum) / (1 - s). It raises the honest sum by
+s / (1 - s) of it at most, or by the floor, whichever is more. The sum only grows with a claim, so the least
+that a faulty reporter can do is to report nothing: then the sum is as if it were not there.
 """
 
 from itertools import accumulate
 
-SLACK = 16  # numbers that a teller may be ahead of its time: a burst of sayings after it stood still
+SLACK = 16  # numbers that a reporter may be ahead of its time: a burst of reports after a stall
 
 
-def share_of(share, part):
-    """Of a sum, for one who speaks for that part of those who told: twice the part, where that is more."""
-    return min(1.0, max(share, 2 * part))
+def allowed_share(max_share, part):
+    """Returns the share of a sum allowed to a reporter that covers `part` of the routers covered.
 
+    That is twice the part, or `max_share` where it is more.
+    """
+    return min(1.0, max(max_share, 2 * part))
 
-def cut(claims, shares, floor):
-    """(sum, whether a claim was cut): none counts for more than its share of the sum, or floor."""
+
+def capped_sum(claims, shares, floor):
+    """Returns (sum, whether a claim was capped); none counts for more than its share of it, or `floor`."""
     total = sum(claims)
     if all(claim <= max(share * total, floor) for claim, share in zip(claims, shares)):
         return total, False
     ordered = sorted(zip(claims, shares), key=lambda row: -row[0] / row[1])
-    rests = [*accumulate(claim for claim, _ in reversed(ordered))][::-1]  # that claim and all after it
-    whole, taken = 0.0, 0.0  # the sum that comes out; shares of those that are cut
+    rests = [*accumulate(claim for claim, _ in reversed(ordered))][::-1]  # sum of that claim and all after it
+    result, capped_shares = 0.0, 0.0  # the resulting sum; total share of the claims that are capped
     for above, ((claim, share), rest) in enumerate(zip(ordered, rests)):
-        if taken >= 1:  # they make it up between them
-            last, least = ordered[above - 1]
-            whole = last / least
+        if capped_shares >= 1:  # the capped claims alone make up the sum
+            last, last_share = ordered[above - 1]
+            result = last / last_share
             break
-        if claim <= share * rest / (1 - taken):
-            whole = rest / (1 - taken)
+        if claim <= share * rest / (1 - capped_shares):
+            result = rest / (1 - capped_shares)
             break
-        taken += share
-    return sum(min(claim, max(floor, share * whole)) for claim, share in ordered), True
+        capped_shares += share
+    return sum(min(claim, max(floor, share * result)) for claim, share in ordered), True
 
 
-def fade(age, silent_after):
-    """Weight of news: whole for the first half of its time, then falling to none without a step."""
+def age_weight(age, silent_after):
+    """Returns the weight of a report: 1 for the first half of its time, then falling linearly to 0."""
     half = silent_after / 2
     return max(0.0, min(1.0, (silent_after - age) / half))
 
 
-def too_far(number, before, span, every):
-    """Whether a number is ahead of what a teller can have said in that span since the one before."""
-    return number > before + SLACK + 2 * (span // max(1, every))
+def too_far_ahead(number, before, elapsed, interval):
+    """Whether a reporter cannot have reached this number in the time elapsed since the number before."""
+    return number > before + SLACK + 2 * (elapsed // max(1, interval))
--- a/hookrouter/decisions/spread/sources.py
+++ b/hookrouter/decisions/spread/sources.py
@@ -40,8 +40,8 @@
         if self.made is not None and made <= self.made:
             return False
         self.made, self.at = made, now
-        self.out, self.rate = max(0.0, summary.others_out), max(0.0, summary.others_rate)
-        self.state = TABLE[self.state, DOUBT if summary.doubted else NEWS]
+        self.out, self.rate = max(0.0, summary.others_in_flight), max(0.0, summary.others_rate)
+        self.state = TABLE[self.state, DOUBT if summary.uncertain else NEWS]
         self.look(now, terms)
         return True
 
--- a/hookrouter/decisions/view/__init__.py
+++ b/hookrouter/decisions/view/__init__.py
@@ -1,5 +1,5 @@
-"""Who is in the fleet, as one member sees it: probes, suspicion, refutation, news; whether it has settled."""
+"""Group membership and failure detection as one member sees it: probes, suspicion, refutation and gossip."""
 
 from .members import View as View
-from .words import Row as Row
-from .words import Terms as Terms
+from .protocol import Member as Member
+from .protocol import Terms as Terms
--- a/hookrouter/decisions/view/members/__init__.py
+++ b/hookrouter/decisions/view/members/__init__.py
@@ -1,16 +1,19 @@
-"""One member's view of the fleet: it probes at random, asks others before it suspects, and suspects before it
-buries; who is suspected says that it lives, under a higher incarnation.
+"""One member's view of the fleet: SWIM with Lifeguard's refinements.
 
-After SWIM (Das, Gupta, Motivala, 2002) with Lifeguard's awareness of one's own slowness, suspicion that
-shrinks with witnesses, and the buddy's news (Dadgar, Phillips, Currey, 2018). Beyond it: a sum of the view
-travels with each probe, so a member knows whether its view has settled; a death told of one that was not
-suspected here is not believed but told to that one; who hears nobody takes itself for cut off and buries
-nobody for long.
+It probes members in random order, probes indirectly before it suspects, and suspects before it declares a
+member dead. A suspected member refutes with a higher incarnation.
 
-The work of a member and its traffic do not grow with the fleet. No I/O: events and a time in, effects out.
+After SWIM (Das, Gupta, Motivala, 2002) with Lifeguard's local health awareness, suspicion timeouts that
+shrink with confirmations, and priority of the update that tells a suspect of its suspicion, the buddy system
+(Dadgar, Phillips, Currey, 2018). Beyond these:
+- A digest of the view travels with each probe, so that a member knows whether its view has settled.
+- A reported death of a member that is not suspected here is not believed but sent to that member to refute.
+- A member that receives nothing takes itself for cut off and postpones declaring others dead.
+
+The work and traffic of a member do not grow with the fleet. No I/O: takes events and a time, returns effects.
 """
 
 from .core import View
-from .marks import holds, mark
+from .digests import member_digest, supersedes
 
-__all__ = ["View", "holds", "mark"]
+__all__ = ["View", "supersedes", "member_digest"]
--- a/hookrouter/decisions/view/members/core.py
+++ b/hookrouter/decisions/view/members/core.py
@@ -1,121 +1,135 @@
-"""A view: its parts, the loop that takes events, and the tables of probes and messages."""
+"""The view: its state, the loop that takes events, and the dispatch tables of probes and messages."""
 
 from collections import deque
 from random import Random
 
-from .. import words as w
-from .marks import holds, mark
+from .. import protocol
+from .digests import member_digest, supersedes
+from .gossip import Gossip
+from .member_table import MemberTable
+from .pending import ANSWERED, DIRECT, INDIRECT, MAX_DISPUTED_DEATHS, OVERDUE
 from .probing import Probing
-from .records import ANSWERED, ASKED, HELPED, MOST_DOUBTS, OVERDUE
-from .rows import Rows
 from .suspicions import Suspicions
-from .talk import Talk
-
-LEAVE_FOR = 10_000  # 1 s in which a planned end is told
-
-
-class View(Rows, Suspicions, Probing, Talk):
-    mark, holds = staticmethod(mark), staticmethod(holds)
-
-    def __init__(self, terms, me, now, seed):
-        """me: this member's Row."""
-        self.terms, self.me, self.random = terms, me, Random(seed)
-        self.now, self.out = now, []
-        self.rows, self.suspicions, self.gone_at = {}, {}, {}  # key -> Row; Suspicion; when it died or left
-        self.living = 0
-        self.sums, self.digest = [0] * w.BUCKETS, 0
-        self.ring, self.at, self.turn = [], 0, False  # whom to probe, in turn
-        self.probes, self.relayed, self.seq = {}, {}, 0  # seq -> Probe; seq -> (whose, their seq, due)
-        self.news, self.tiers = {}, []  # key -> times it was sent; keys by that, in order
-        self.doubts = {}  # key -> row of its death, not believed here
-        self.lives = {}  # name -> keys of its processes
-        self.aware, self.wait_mean, self.wait_dev = 0, 0.0, 0.0
-        self.spoke, self.same_since = deque(), now  # (when, key, digest named)
-        self.probe_at, self.compare_at, self.again_at = now, now, now
-        self.heard_at = now
-        self.twins, self.left_at = set(), None
-        self._put(me, "starts", ())
+
+LEAVE_DURATION = 10_000  # 1 s in which a planned leave is announced
+
+
+class View(MemberTable, Suspicions, Probing, Gossip):
+    """One member's view of the fleet."""
+
+    member_digest, supersedes = staticmethod(member_digest), staticmethod(supersedes)
+
+    def __init__(self, terms, local_member, now, seed):
+        """`local_member` is this process's Member; `seed` that of its random choices."""
+        self.terms, self.local_member, self.random = terms, local_member, Random(seed)
+        self.now, self.effects = now, []
+        # key -> Member; key -> Suspicion; key -> when it died or left, earliest first
+        self.members, self.suspicions, self.ended_at = {}, {}, {}
+        self.alive_count = 0
+        self.bucket_digests, self.digest = [0] * protocol.BUCKETS, 0
+        # Keys in probe order, the position in it, and whether the next probe goes to a suspect.
+        self.probe_order, self.probe_index, self.suspect_turn = [], 0, False
+        self.probes, self.relayed, self.seq = {}, {}, 0  # seq -> Probe; seq -> (requester, its seq, due)
+        # Updates to gossip: key -> times sent; queues of keys by times sent.
+        self.transmit_counts, self.transmit_queues = {}, []
+        self.disputed_deaths = {}  # key -> record of its death, not believed here
+        self.keys_by_name = {}  # name -> keys of its processes
+        self.health_score, self.rtt_mean, self.rtt_deviation = 0, 0.0, 0.0
+        self.recent_digests, self.digest_since = deque(), now  # (when, key of the sender, its digest)
+        self.next_probe_at, self.next_compare_at, self.next_reconnect_at = now, now, now
+        self.last_received_at = now
+        self.duplicates, self.left_at = set(), None
+        self._store(local_member, "starts", ())
 
     def take(self, now, event):
-        self.now, self.out = now, []
-        if self.left_at is None or now < self.left_at + LEAVE_FOR:
+        """Handles an event and returns the effects."""
+        self.now, self.effects = now, []
+        if self.left_at is None or now < self.left_at + LEAVE_DURATION:
             getattr(self, EVENTS[type(event)].__name__)(event)
-        return self.out
+        return self.effects
 
     def alarm(self):
-        """When Tick is next of use."""
+        """Time at which the next Tick is due."""
         times = [
-            self.probe_at,
+            self.next_probe_at,
             *(probe.due for probe in self.probes.values()),
-            *(row[2] for row in self.relayed.values()),
+            *(request[2] for request in self.relayed.values()),
         ]
         if self.suspicions:
             times.append(min(suspicion.due for suspicion in self.suspicions.values()))
         return max(self.now + 1, min(times))
 
-    def _send(self, row, message):
-        self.out.append(w.Send(row.name, row.address, message))
+    def _send(self, member, message):
+        self.effects.append(protocol.Send(member.name, member.address, message))
 
     def alive(self):
-        """Rows of members that take part, this one too."""
-        return [row for row in self.rows.values() if row.state < w.DEAD]
+        """Members that are not dead and have not left, this one included."""
+        return [member for member in self.members.values() if member.state < protocol.DEAD]
 
-    def settled(self):
-        """Since when all who spoke lately named this very view, or None."""
-        others, since = self.living - 1, self.now - self.terms.settled_for
-        if self.same_since > since or self.suspicions:
+    def settled_since(self):
+        """Time since which all digests received lately were that of this view, or None."""
+        others, since = self.alive_count - 1, self.now - self.terms.settle_duration
+        if self.digest_since > since or self.suspicions:
             return None
-        while self.spoke and self.spoke[0][0] < since:
-            self.spoke.popleft()
+        while self.recent_digests and self.recent_digests[0][0] < since:
+            self.recent_digests.popleft()
         if others == 0:
-            return None if self.terms.seeds else self.same_since
-        recent = {key for _, key, _ in self.spoke}
-        if len(recent) < min(others, self.terms.settled_by) or any(
-            d != self.digest for _, _, d in self.spoke
+            return None if self.terms.seeds else self.digest_since
+        recent = {key for _, key, _ in self.recent_digests}
+        if len(recent) < min(others, self.terms.settle_members) or any(
+            digest != self.digest for _, _, digest in self.recent_digests
         ):
             return None
-        return self.same_since
+        return self.digest_since
 
-    def _step(self, seq, word):
+    def _step(self, seq, outcome):
         probe = self.probes[seq]
-        state, effect = TABLE[probe.state, word]
+        state, effect = TABLE[probe.state, outcome]
         if state is None:
             del self.probes[seq]
         else:
             probe.state = state
         getattr(self, effect.__name__)(seq, probe)
 
-    def _heard(self, heard):
-        message, key = heard.message, (heard.name, heard.life)
-        if key == self.me.key:
+    def _on_received(self, received):
+        message, key = received.message, (received.name, received.life)
+        if key == self.local_member.key:
             return
-        self.heard_at = self.now
-        # What comes in bulk is no news: others get it so, too.
-        for row in getattr(message, "news", ()):
-            self._learn(row, heard.name, not isinstance(message, w.Rows) or row.state == w.LEFT)
-        row = self.rows.get(key)
-        if row is not None and row.state == w.DEAD:
-            # It speaks: it is told what is thought of it, and says that it lives. Not at once for each word
-            # of it: one that did not refute would be answered for ever.
-            if len(self.doubts) < MOST_DOUBTS:
-                self.doubts[key] = row
-        getattr(self, MESSAGES[type(message)].__name__)(key, heard, message)
-
-
-# state of a probe, input -> next state (none: it is over), effect
+        self.last_received_at = self.now
+        # Members sent in bulk are not gossiped on, since others get them in bulk too; a leave is.
+        for member in getattr(message, "updates", ()):
+            self._learn(
+                member,
+                received.name,
+                not isinstance(message, protocol.MemberList) or member.state == protocol.LEFT,
+            )
+        member = self.members.get(key)
+        if member is not None and member.state == protocol.DEAD:
+            # A dead member that sends is told of its death, so that it refutes. Not at once for each message:
+            # a member that does not refute would be answered for ever.
+            if len(self.disputed_deaths) < MAX_DISPUTED_DEATHS:
+                self.disputed_deaths[key] = member
+        getattr(self, MESSAGES[type(message)].__name__)(key, received, message)
+
+
+# (state of a probe, outcome) -> (next state or None where the probe ends, effect)
 TABLE = {
-    (ASKED, ANSWERED): (None, View._answer_seen),
-    (ASKED, OVERDUE): (HELPED, View._ask),
-    (HELPED, ANSWERED): (None, View._answer_seen),
-    (HELPED, OVERDUE): (None, View._failed),
+    (DIRECT, ANSWERED): (None, View._probe_acked),
+    (DIRECT, OVERDUE): (INDIRECT, View._probe_indirectly),
+    (INDIRECT, ANSWERED): (None, View._probe_acked),
+    (INDIRECT, OVERDUE): (None, View._probe_failed),
 }
 
-EVENTS = {w.Heard: View._heard, w.Tick: View._tick, w.Leave: View._leave}
+EVENTS = {
+    protocol.Received: View._on_received,
+    protocol.Tick: View._on_tick,
+    protocol.Leave: View._on_leave,
+}
 MESSAGES = {
-    w.Ping: View._ping,
-    w.Ack: View._ack,
-    w.PingFor: View._ping_for,
-    w.Nak: View._nak,
-    w.Compare: View._compare,
-    w.Rows: View._rows_came,
+    protocol.Ping: View._on_ping,
+    protocol.Ack: View._on_ack,
+    protocol.PingFor: View._on_ping_for,
+    protocol.Nak: View._on_nak,
+    protocol.Compare: View._on_compare,
+    protocol.MemberList: View._on_member_list,
 }
--- a/hookrouter/decisions/view/members/probing.py
+++ b/hookrouter/decisions/view/members/probing.py
@@ -1,129 +1,138 @@
-"""Probes in turn, others asked to probe, and what a stall of its own tells."""
+"""Probes in random order, indirect probes, and what follows from a stall of this process."""
 
-from .. import words as w
-from .records import MOST_AWARE, OVERDUE, Probe
+from .. import protocol
+from .pending import MAX_HEALTH_SCORE, OVERDUE, Probe
 
-DOUBTS_A_PERIOD = 4  # told to those concerned
-STALL = 4_000  # 400 ms later than due and this process has stood still
+DISPUTES_PER_PERIOD = 4  # disputed deaths that are sent to the members concerned
+STALL = 4_000  # a tick 400 ms late means that this process was stalled
 
 
 class Probing:
-    def _tick(self, event):
-        late = self.now - self.probe_at
+    """The failure detector of a View."""
+
+    def _on_tick(self, event):
+        late = self.now - self.next_probe_at
         if late > STALL:
-            self._stood_still(late)
+            self._recover_from_stall(late)
         for seq in [seq for seq, probe in self.probes.items() if self.now >= probe.due]:
             self._step(seq, OVERDUE)
-        for seq in [seq for seq, row in self.relayed.items() if self.now >= row[2]]:
-            whose, theirs, _ = self.relayed.pop(seq)
-            if whose in self.rows:
-                self._send(self.rows[whose], w.Nak(theirs))
-        self._bury()
-        if self.now >= self.probe_at:
-            self.probe_at = self.now + self.terms.period
-            self._probe()
-            self._again()
-            self._tell_dead()
+        for seq in [seq for seq, request in self.relayed.items() if self.now >= request[2]]:
+            requester, its_seq, _ = self.relayed.pop(seq)
+            if requester in self.members:
+                self._send(self.members[requester], protocol.Nak(its_seq))
+        self._declare_dead()
+        if self.now >= self.next_probe_at:
+            self.next_probe_at = self.now + self.terms.probe_interval
+            self._send_probe()
+            self._reconnect()
+            self._send_disputed_deaths()
             self._forget()
 
-    def _stood_still(self, span):
-        """What did not answer meanwhile had nobody to answer to."""
+    def _recover_from_stall(self, duration):
+        """Drops pending probes and extends suspicions: acks that came meanwhile could not be read."""
         self.probes.clear()
         self.relayed.clear()
-        self.spoke.clear()
+        self.recent_digests.clear()
         for suspicion in self.suspicions.values():
-            suspicion.since += span
-            suspicion.due += span
-        self.heard_at = min(self.heard_at + span, self.now)
-        self.aware = min(MOST_AWARE, self.aware + 1)
-        self.out.append(w.Told("stood still", (("ms", span // 10),)))
-
-    def _wait(self):
-        """For an answer: the mean of those seen and four deviations (Jacobson, 1988), longer where this one
-        is slow.
+            suspicion.since += duration
+            suspicion.due += duration
+        self.last_received_at = min(self.last_received_at + duration, self.now)
+        self.health_score = min(MAX_HEALTH_SCORE, self.health_score + 1)
+        self.effects.append(protocol.LogWarning("stood still", (("ms", duration // 10),)))
+
+    def _timeout(self):
+        """Time to wait for an ack: mean and four deviations of those seen (Jacobson, 1988).
+
+        It is multiplied by the local health score, since this member may itself be slow.
         """
-        seen = int(self.wait_mean + 4 * self.wait_dev) if self.wait_mean else self.terms.least_wait
-        return min(self.terms.most_wait, max(self.terms.least_wait, seen)) * (1 + self.aware)
+        seen = int(self.rtt_mean + 4 * self.rtt_deviation) if self.rtt_mean else self.terms.min_timeout
+        return min(self.terms.max_timeout, max(self.terms.min_timeout, seen)) * (1 + self.health_score)
 
-    def _next(self):
-        """The next one to probe: each once a round, in an order drawn anew. Every other probe goes to
-        one that is suspected, where there is any: it learns of it, and what it says comes straight here.
+    def _next_target(self):
+        """Returns the next member to probe: each once a round, in an order shuffled anew each round.
+
+        Every other probe goes to a suspect, where there is one: it learns of the suspicion, and its
+        refutation comes straight here.
         """
-        self.turn = not self.turn
-        if self.turn and self.suspicions:
-            return self.rows[self.random.choice(list(self.suspicions))]
-        for _ in range(len(self.ring) + 1):
-            if self.at >= len(self.ring):
-                self.ring = [key for key in self.ring if key in self.rows and self.rows[key].state < w.DEAD]
-                self.random.shuffle(self.ring)
-                self.at = 0
-            if not self.ring:
+        self.suspect_turn = not self.suspect_turn
+        if self.suspect_turn and self.suspicions:
+            return self.members[self.random.choice(list(self.suspicions))]
+        for _ in range(len(self.probe_order) + 1):
+            if self.probe_index >= len(self.probe_order):
+                self.probe_order = [
+                    key
+                    for key in self.probe_order
+                    if key in self.members and self.members[key].state < protocol.DEAD
+                ]
+                self.random.shuffle(self.probe_order)
+                self.probe_index = 0
+            if not self.probe_order:
                 return None
-            key = self.ring[self.at]
-            self.at += 1
-            row = self.rows.get(key)
-            if row is not None and row.state < w.DEAD and key != self.me.key:
-                return row
+            key = self.probe_order[self.probe_index]
+            self.probe_index += 1
+            member = self.members.get(key)
+            if member is not None and member.state < protocol.DEAD and key != self.local_member.key:
+                return member
         return None
 
-    def _probe(self):
-        row = self._next()
-        if row is None:
+    def _send_probe(self):
+        member = self._next_target()
+        if member is None:
             return
         self.seq += 1
-        self.probes[self.seq] = Probe(row.key, self.now, self.now + self._wait())
-        self._send(row, w.Ping(self.seq, self.digest, self._news(row)))
+        self.probes[self.seq] = Probe(member.key, self.now, self.now + self._timeout())
+        self._send(member, protocol.Ping(self.seq, self.digest, self._updates(member)))
 
-    def _ask(self, seq, probe):
-        """Others are asked to probe it."""
-        row = self.rows.get(probe.key)
-        able = [
+    def _probe_indirectly(self, seq, probe):
+        """Asks other members to probe the one that did not ack."""
+        member = self.members.get(probe.key)
+        helpers = [
             other
             for other in self._sample(self.terms.helpers + 2)
-            if other.key not in (probe.key, self.me.key)
+            if other.key not in (probe.key, self.local_member.key)
         ][: self.terms.helpers]
-        probe.asked, probe.due = len(able), self.now + 2 * self._wait()
-        if row is not None:
-            for other in able:
-                self._send(other, w.PingFor(seq, row.name, row.life, self._news(other)))
+        probe.helpers, probe.due = len(helpers), self.now + 2 * self._timeout()
+        if member is not None:
+            for other in helpers:
+                self._send(other, protocol.PingFor(seq, member.name, member.life, self._updates(other)))
 
     def _sample(self, count):
-        """Members that are not suspected, at random."""
+        """Returns up to `count` random members that are not suspected."""
         found = []
         for _ in range(3 * count):
-            if not self.ring or len(found) >= count:
+            if not self.probe_order or len(found) >= count:
                 break
-            row = self.rows.get(self.random.choice(self.ring))
-            if row is not None and row.state < w.SUSPECT and row not in found:
-                found.append(row)
+            member = self.members.get(self.random.choice(self.probe_order))
+            if member is not None and member.state < protocol.SUSPECT and member not in found:
+                found.append(member)
         return found
 
-    def _answer_seen(self, seq, probe):
-        span = self.now - probe.sent
-        if not self.wait_mean:
-            self.wait_mean, self.wait_dev = span, span / 2
-        self.wait_dev += (abs(span - self.wait_mean) - self.wait_dev) / 4
-        self.wait_mean += (span - self.wait_mean) / 8
-        self.aware = max(0, self.aware - 1)
-
-    def _again(self):
-        """One that is dead, or a seed: so a split ends. One try a second, whatever the size."""
-        if self.now < self.again_at:
+    def _probe_acked(self, seq, probe):
+        duration = self.now - probe.sent_at
+        if not self.rtt_mean:
+            self.rtt_mean, self.rtt_deviation = duration, duration / 2
+        self.rtt_deviation += (abs(duration - self.rtt_mean) - self.rtt_deviation) / 4
+        self.rtt_mean += (duration - self.rtt_mean) / 8
+        self.health_score = max(0, self.health_score - 1)
+
+    def _reconnect(self):
+        """Contacts a dead member or a seed, so that a partition heals; one a second at any fleet size."""
+        if self.now < self.next_reconnect_at:
             return
-        self.again_at = self.now + self.random.randrange(
-            self.terms.again_every // 2, 3 * self.terms.again_every // 2
+        self.next_reconnect_at = self.now + self.random.randrange(
+            self.terms.reconnect_interval // 2, 3 * self.terms.reconnect_interval // 2
         )
-        known = {row.address for row in self.rows.values() if row.state < w.SUSPECT}
+        known = {member.address for member in self.members.values() if member.state < protocol.SUSPECT}
         seeds = [address for address in self.terms.seeds if address not in known]
-        dead = [key for key in self.gone_at if self.rows[key].state == w.DEAD]
+        dead = [key for key in self.ended_at if self.members[key].state == protocol.DEAD]
         if seeds and (not dead or self.random.random() < 0.5):
-            self.out.append(w.Send("", self.random.choice(seeds), self._compared(False)))
+            self.effects.append(protocol.Send("", self.random.choice(seeds), self._comparison(False)))
         elif dead:
-            row = self.rows[self.random.choice(dead)]
-            self._send(row, w.Ping(0, self.digest, [row, self.me]))
-
-    def _tell_dead(self):
-        """Those whose death is told though not suspected here: they say that they live, or fail probes."""
-        for key in list(self.doubts)[:DOUBTS_A_PERIOD]:
-            row = self.doubts.pop(key)
-            self._send(row, w.Ping(0, self.digest, [row]))
+            member = self.members[self.random.choice(dead)]
+            self._send(member, protocol.Ping(0, self.digest, [member, self.local_member]))
+
+    def _send_disputed_deaths(self):
+        """Sends disputed deaths to the members concerned: they refute, or fail probes."""
+        for key in list(self.disputed_deaths)[:DISPUTES_PER_PERIOD]:
+            member = self.disputed_deaths.pop(key)
+            self._send(member, protocol.Ping(0, self.digest, [member]))
--- a/hookrouter/fleet/member/lists.py
+++ b/hookrouter/fleet/member/lists.py
@@ -3,13 +3,13 @@
 import msgspec
 from twisted.internet.defer import Deferred, succeed
 
-from ...decisions.sharing import words as w
+from ...decisions.sharing import protocol
 from ...decisions.sharing.pulls import Lender, Puller
 
 MOST_PULLS = 16  # under way at once
 
 encode = msgspec.msgpack.Encoder().encode
-decode = msgspec.msgpack.Decoder(w.Streamed).decode
+decode = msgspec.msgpack.Decoder(protocol.Streamed).decode
 
 
 class Lists:
@@ -57,13 +57,13 @@
         except msgspec.MsgspecError:
             self.count("parcels_malformed")
             return
-        if isinstance(message, w.Pull):
+        if isinstance(message, protocol.Pull):
             make = self.makers.get(message.topic)
             if make is not None:
-                self._give(self.lender.asked(self.clock(), name, message, make))
+                self._give(self.lender.request(self.clock(), name, message, make))
         elif (name, message.topic) in self.pulls:
             puller = self.pulls[name, message.topic][0]
-            self._go_on(name, message.topic, puller.piece(self.clock(), message))
+            self._go_on(name, message.topic, puller.receive(self.clock(), message))
 
     def _give(self, pieces):
         for name, piece in pieces:
@@ -75,7 +75,7 @@
 
     def _due(self):
         self.call = None
-        self._give(self.lender.due(self.clock()))
+        self._give(self.lender.due_pieces(self.clock()))
 
     def stop(self):
         self.stopped = True
--- a/hookrouter/fleet/member/roster.py
+++ b/hookrouter/fleet/member/roster.py
@@ -4,9 +4,8 @@
 import time
 from collections import deque
 
-from ...decisions.view import Row, View
+from ...decisions.view import Member, View, protocol
 from ...decisions.view import Terms as ViewTerms
-from ...decisions.view import words as v
 from ..wire.datagrams import Datagrams
 from ..wire.post import Post
 
@@ -26,7 +25,7 @@
         host, port = fleet["address"] or fleet["listen"]
         self.listens = fleet["listen"]
         seeds = fleet["seeds"] or tuple(fleet["keepers"].values())
-        me = Row(fleet["name"], life, host, port, fleet["zone"], role, VERSION, 0)
+        me = Member(fleet["name"], life, host, port, fleet["zone"], role, VERSION, 0)
         self.counters = {}
         self.socket = Datagrams(reactor, fleet["name"], fleet["secret"].value, self._heard, self._count)
         seeds = tuple(seed for seed in seeds if seed != (host, port))
@@ -44,17 +43,17 @@
     # ---- the view
 
     def _tick(self):
-        self._take(v.Tick())
-        settled = self.view.settled() is not None
+        self._take(protocol.Tick())
+        settled = self.view.settled_since() is not None
         if settled != self.said:
             self.said = settled
-            self.log("view has settled" if settled else "view has not settled", members=self.view.living)
+            self.log("view has settled" if settled else "view has not settled", members=self.view.alive_count)
 
     def _heard(self, name, life, address, message):
         if self.stopped:
             return
         if not isinstance(message, Post):
-            self._take(v.Heard(name, life, address, message))
+            self._take(protocol.Received(name, life, address, message))
         elif self.posted is not None:
             self.posted(name, life, message)
         else:
@@ -62,12 +61,12 @@
 
     def _take(self, event):
         for effect in self.view.take(self.clock(), event):
-            if isinstance(effect, v.Send):
-                self.socket.send(self.view.me.life, effect.name, effect.address, effect.message)
-            elif isinstance(effect, v.Changed):
+            if isinstance(effect, protocol.Send):
+                self.socket.send(self.view.local_member.life, effect.name, effect.address, effect.message)
+            elif isinstance(effect, protocol.StateChanged):
                 self._changed(effect)
             else:
-                self.log(effect.what, level="warn", **dict(effect.values))
+                self.log(effect.event, level="warn", **dict(effect.fields))
         if self.call is not None and self.call.active():
             self.call.cancel()
         if not self.stopped:
@@ -77,14 +76,14 @@
 
     def post(self, row, topic, data):
         """A datagram for another part of that member; row: as the view has it. It may be lost."""
-        self.socket.send(self.view.me.life, row.name, row.address, Post(topic, data))
+        self.socket.send(self.view.local_member.life, row.name, row.address, Post(topic, data))
 
     # ---- what is told of it
 
     def _changed(self, changed):
-        rows = self.changes.pop(changed.row.name, None) or deque(maxlen=MOST_KEPT)
+        rows = self.changes.pop(changed.member.name, None) or deque(maxlen=MOST_KEPT)
         rows.append((int(time.time() * 1_000), changed))
-        self.changes[changed.row.name] = rows
+        self.changes[changed.member.name] = rows
         if len(self.changes) > MOST_NAMES:
             del self.changes[next(iter(self.changes))]
         if not self.gathered:
@@ -96,20 +95,20 @@
         gathered, self.gathered = self.gathered, []
         by_state = {}
         for changed in gathered:
-            by_state.setdefault(changed.row.state, []).append(changed)
+            by_state.setdefault(changed.member.state, []).append(changed)
         for state, rows in by_state.items():
             if len(rows) <= MOST_LINES:
                 for x in rows:
                     self.log(
-                        f"member {v.STATES[state]}",
-                        member=x.row.name,
-                        zone=x.row.zone,
-                        why=x.why,
-                        by=",".join(x.witnesses),
+                        f"member {protocol.STATES[state]}",
+                        member=x.member.name,
+                        zone=x.member.zone,
+                        why=x.reason,
+                        by=",".join(x.sources),
                     )
                 continue
-            self.log(f"members {v.STATES[state]}", count=len(rows), of=self.view.living)
-            for zone, lost, of in self.zones([x.row for x in rows]) if state >= v.SUSPECT else ():
+            self.log(f"members {protocol.STATES[state]}", count=len(rows), of=self.view.alive_count)
+            for zone, lost, of in self.zones([x.member for x in rows]) if state >= protocol.SUSPECT else ():
                 self.log(
                     "a zone as a whole does not answer: it is cut off, or down",
                     zone=zone,
@@ -121,25 +120,25 @@
     def zones(self, rows):
         """(zone, how many of those rows, of all known there) where it is half of it or more."""
         zones = sorted({row.zone for row in rows})
-        known = [row.zone for row in self.view.rows.values() if row.state != v.LEFT]
+        known = [row.zone for row in self.view.members.values() if row.state != protocol.LEFT]
         found = [(zone, sum(row.zone == zone for row in rows), known.count(zone)) for zone in zones]
         return [(zone, lost, of) for zone, lost, of in found if lost >= 3 and 2 * lost >= of]
 
     def shown(self):
         view = self.view
         view.now = self.clock()
-        since = view.settled()
-        rows = sorted(view.rows.values(), key=lambda row: row.key)
+        since = view.settled_since()
+        rows = sorted(view.members.values(), key=lambda row: row.key)
         return {
-            "member": view.me.name,
+            "member": view.local_member.name,
             "pid": os.getpid(),
             "settled_ms": None if since is None else (view.now - since) // 10,
             "digest": f"{view.digest:012x}",
-            "alive": view.living,
-            "slow_itself": view.aware,
+            "alive": view.alive_count,
+            "slow_itself": view.health_score,
             "counters": dict(sorted(self.counters.items())),
             "of": len(rows),
-            "twins": sorted(f"{name}#{life}" for name, life in view.twins),
+            "twins": sorted(f"{name}#{life}" for name, life in view.duplicates),
             "members": [
                 [
                     row.name,
@@ -149,7 +148,7 @@
                     row.role,
                     row.version,
                     row.incarnation,
-                    v.STATES[row.state],
+                    protocol.STATES[row.state],
                 ]
                 for row in rows[:MOST_SHOWN]
             ],
@@ -160,12 +159,12 @@
         return [
             [
                 at,
-                x.row.life,
-                None if x.before is None else v.STATES[x.before],
-                v.STATES[x.row.state],
-                x.row.incarnation,
-                x.why,
-                list(x.witnesses),
+                x.member.life,
+                None if x.previous is None else protocol.STATES[x.previous],
+                protocol.STATES[x.member.state],
+                x.member.incarnation,
+                x.reason,
+                list(x.sources),
             ]
             for at, x in self.changes.get(name, ())
         ]
@@ -173,7 +172,7 @@
     # ---- the end
 
     def leave(self, final):
-        self._take(v.Leave(final))
+        self._take(protocol.Leave(final))
 
     def stop(self):
         self.stopped = True
--- a/hookrouter/fleet/member/sharing.py
+++ b/hookrouter/fleet/member/sharing.py
@@ -3,10 +3,9 @@
 import msgspec
 from twisted.internet.defer import DeferredList
 
-from ...decisions.sharing import soft
-from ...decisions.sharing import words as w
+from ...decisions.sharing import protocol, soft_state
 from ...decisions.sharing.exchange import Exchange
-from ...decisions.view.words import DEAD
+from ...decisions.view.protocol import DEAD
 from ...errors.wire import DatagramTooLong
 from ...feed.purges import steady
 from ..wire.post import Parcel
@@ -20,25 +19,25 @@
 LENDERS = 2  # neighbours of the zone whom a starter asks
 
 encode = msgspec.msgpack.Encoder().encode
-decode = msgspec.msgpack.Decoder(w.Message).decode
-read_learnt = msgspec.msgpack.Decoder(soft.Learnt).decode
+decode = msgspec.msgpack.Decoder(protocol.Message).decode
+read_learnt = msgspec.msgpack.Decoder(soft_state.SoftState).decode
 
 
 class Sharing:
     """state: what the router tells and takes over. loads(now): [(cache, source or "", sends out, sends
-    started a second)]; learnt() and adopt([Learnt]): soft state, once it has listed() its caches;
+    started a second)]; learnt() and adopt([SoftState]): soft state, once it has listed() its caches;
     wait(bool): whether it is not ready yet.
     """
 
     def __init__(self, reactor, log, section, member, state):
         self.reactor, self.log, self.member, self.state = reactor, log, member, state
-        self.terms = w.Terms(
+        self.terms = protocol.Terms(
             silent_after=section["silent after"],
             pull_within=section["pull within"],
             pull_rate=section["lend"],
         )
         self.view = member.roster.view
-        me = self.view.me
+        me = self.view.local_member
         self.exchange = Exchange(self.terms, me.name, me.life, me.life)
         self.lists = Lists(reactor, self.terms, steady, self._parcel, self.count)
         self.subscribers, self.listeners = {}, []
@@ -73,7 +72,7 @@
 
     def neighbours(self):
         """Names of the others of the zone that share, in no order of worth."""
-        return list(self.exchange.names)
+        return list(self.exchange.neighbours)
 
     # ---- life
 
@@ -90,10 +89,12 @@
 
     def _begin(self, now):
         """Once a neighbour is known it is asked; two where there are two."""
-        if self.wait_until is None or self.pulling or not self.exchange.names or not self.state.listed():
+        if self.wait_until is None or self.pulling or not self.exchange.neighbours or not self.state.listed():
             return
         self.pulling = True
-        names = self.exchange.random.sample(self.exchange.names, min(LENDERS, len(self.exchange.names)))
+        names = self.exchange.random.sample(
+            self.exchange.neighbours, min(LENDERS, len(self.exchange.neighbours))
+        )
         left = max(1, self.wait_until - now)
         DeferredList([self.pull(name, SOFT, left) for name in names]).addCallback(self._lent, names)
 
@@ -128,8 +129,8 @@
         now = steady()
         self._look(now)
         self._begin(now)
-        self.exchange.take(now, w.Own(self.state.loads(now)))
-        self._carry(now, self.exchange.take(now, w.Tick()))
+        self.exchange.take(now, protocol.OwnLoads(self.state.loads(now)))
+        self._carry(now, self.exchange.take(now, protocol.Tick()))
         if not self.stopped:
             self.call = self.reactor.callLater(
                 max(0.01, (self.exchange.alarm() - steady()) / 10_000), self._tick
@@ -141,13 +142,13 @@
             self.seen, self.look_at = self.view.digest, now + LOOK_EVERY
             zone = {}
             for row in sorted(self.view.alive(), key=lambda row: row.key):
-                if row.zone == self.view.me.zone and row.role.endswith(SHARES):
+                if row.zone == self.view.local_member.zone and row.role.endswith(SHARES):
                     zone[row.name] = row.life  # of two lives the later
-            self.exchange.take(now, w.Living(zone))
+            self.exchange.take(now, protocol.LivingRouters(zone))
 
     def _carry(self, now, effects):
         for effect in effects:
-            if isinstance(effect, w.Send):
+            if isinstance(effect, protocol.Send):
                 self._post(effect.name, LOADS, encode(effect.message))
             else:
                 for listener in self.listeners:
@@ -161,13 +162,13 @@
             self.count("shared_malformed")
             return
         self._look(now)
-        self._carry(now, self.exchange.take(now, w.Heard(name, life, message)))
+        self._carry(now, self.exchange.take(now, protocol.Received(name, life, message)))
 
     # ---- the wire
 
     def _row(self, name):
-        keys = self.view.lives.get(name, ())
-        rows = [row for row in map(self.view.rows.get, sorted(keys)) if row.state < DEAD]
+        keys = self.view.keys_by_name.get(name, ())
+        rows = [row for row in map(self.view.members.get, sorted(keys)) if row.state < DEAD]
         return rows[-1] if rows else None
 
     def _where(self, name):
@@ -187,7 +188,7 @@
         self.member.peers.send(name, Parcel("list", data))
 
     def _posted(self, name, life, post):
-        heard, row = self.subscribers.get(post.topic), self.view.rows.get((name, life))
+        heard, row = self.subscribers.get(post.topic), self.view.members.get((name, life))
         if heard is None or row is None or row.state >= DEAD:
             self.count("shared_refused")
         elif not self.stopped:
@@ -198,23 +199,23 @@
         now, exchange = steady(), self.exchange
         exchange.now = max(now, exchange.now)
         return {
-            "zone": self.view.me.zone,
-            "routers": len(exchange.names) + 1,
-            "speaker": exchange.speaker,
+            "zone": self.view.local_member.zone,
+            "routers": len(exchange.neighbours) + 1,
+            "speaker": exchange.own_reporter,
             "counts": dict(exchange.counts),
             "tellers": [
-                [name, teller.life, teller.number, teller.count, (now - teller.born) // 10]
-                for name, teller in sorted(exchange.board.tellers.items())
+                [name, teller.life, teller.number, teller.member_count, (now - teller.reported_at) // 10]
+                for name, teller in sorted(exchange.table.reporters.items())
             ],
             "caches": [
                 [
                     s.cache,
-                    round(s.others_out, 2),
+                    round(s.others_in_flight, 2),
                     round(s.others_rate, 2),
                     s.age // 10,
-                    s.tellers,
-                    s.of,
-                    s.doubted,
+                    s.covered_routers,
+                    s.other_routers,
+                    s.uncertain,
                 ]
                 for s in exchange.summaries()
             ],
--- a/hookrouter/fleet/member/spread.py
+++ b/hookrouter/fleet/member/spread.py
@@ -19,7 +19,7 @@
     def __init__(self, reactor, log, section, sharing, router):
         self.reactor, self.log, self.sharing = reactor, log, sharing
         self.router, self.control, self.alone = router, router.control, True
-        me = sharing.view.me
+        me = sharing.view.local_member
         terms = spread_terms(router.terms, lease=section["lease"], silent_after=sharing.terms.silent_after)
         self.spread = Spread(terms, (me.name, me.life), me.life, steady())
         self.lead = self.spread.lead
--- a/hookrouter/fleet/wire/datagrams.py
+++ b/hookrouter/fleet/wire/datagrams.py
@@ -10,7 +10,7 @@
 import msgspec
 from twisted.internet.protocol import DatagramProtocol
 
-from ...decisions.view.words import Message
+from ...decisions.view.protocol import Message
 from .post import Post
 from .wire import Malformed, opened
 
--- a/hookrouter/node/told.py
+++ b/hookrouter/node/told.py
@@ -3,8 +3,7 @@
 Decides nothing: it copies rows out of the decisions' arrays and, at a start, into them.
 """
 
-from ..decisions.sharing import soft
-from ..decisions.sharing import words as w
+from ..decisions.sharing import protocol, soft_state
 from .tally import Tally
 
 HALF = 0.5  # of what is told counts at a start, beside what stands here
@@ -34,7 +33,7 @@
         self.router.waits = waits
 
     def learnt(self):
-        """soft.Learnt: what is known here of caches and of answer times."""
+        """soft_state.SoftState: what is known here of caches and of answer times."""
         control, now, rows = self.control, self.router.now(), []
         for name, n in control.row_by_id.items():
             if name not in self.tally.listed or not control.last_answer_at[n]:
@@ -42,7 +41,7 @@
             took, refused = self.tally.answers.get(name, (0.0, 0.0))
             born = self.cold.born[n]
             rows.append(
-                w.Soft(
+                protocol.CacheState(
                     name,
                     min(1_000, self.health.strikes[n]),
                     bool(self.cold.lost[n]),
@@ -53,22 +52,24 @@
                 )
             )
         kinds = [
-            w.Times(name, max(0.0, self.times.average[k]), max(0.0, self.times.deviation[k]), 0)
+            protocol.KindTimes(name, max(0.0, self.times.average[k]), max(0.0, self.times.deviation[k]), 0)
             for name, k in control.kinds.items()
         ]
-        return soft.Learnt(rows[: soft.MOST_CACHES], kinds[: soft.MOST_KINDS])
+        return soft_state.SoftState(rows[: soft_state.MAX_CACHES], kinds[: soft_state.MAX_KINDS])
 
     def adopt(self, told):
-        """told: soft.Learnt of each neighbour that lent; number of rows taken over."""
-        adopted, control = soft.adopted(told), self.control
-        for cache, strikes in adopted.strikes.items():
+        """told: soft_state.SoftState of each neighbour that lent; number of rows taken over."""
+        adopted, control = soft_state.adopted(told), self.control
+        for cache, strikes in adopted.failures.items():
             n = control.row_by_id.get(cache)
             if n is not None:
                 self.health.strikes[n] = max(self.health.strikes[n], strikes)
-                self.tally.answers.setdefault(cache, [adopted.took[cache], adopted.refused[cache]])
-        for kind, (average, deviation) in adopted.times.items():
+                self.tally.answers.setdefault(
+                    cache, [adopted.answer_times[cache], adopted.refused_shares[cache]]
+                )
+        for kind, (average, deviation) in adopted.kind_times.items():
             k = control.kinds.get(kind)
             if k is not None:
                 self.times.average[k] += HALF * (average - self.times.average[k])
                 self.times.deviation[k] += HALF * (deviation - self.times.deviation[k])
-        return len(adopted.strikes) + len(adopted.times)
+        return len(adopted.failures) + len(adopted.kind_times)
--- a/standins/hollow/loads.py
+++ b/standins/hollow/loads.py
@@ -4,8 +4,8 @@
 from random import Random
 from typing import NamedTuple
 
-from hookrouter.decisions.sharing import soft
-from hookrouter.decisions.sharing.words import Soft, Times
+from hookrouter.decisions.sharing import soft_state
+from hookrouter.decisions.sharing.protocol import CacheState, KindTimes
 
 CACHES = 8  # names that are made up for a zone
 MOST_OUT, MOST_RATE = 4.0, 20.0  # sends out at one cache, and started there a second
@@ -61,16 +61,18 @@
         """Whether a router would not be ready yet."""
         self.waits = waits
 
-    def learnt(self) -> soft.Learnt:
+    def learnt(self) -> soft_state.SoftState:
         """What a neighbour that starts borrows."""
         caches = [
-            Soft(cache, 0, False, ANSWER_TIME * self.random.uniform(0.5, 2.0), 0.0, -1, 0)
+            CacheState(cache, 0, False, ANSWER_TIME * self.random.uniform(0.5, 2.0), 0.0, -1, 0)
             for cache in self.current
         ]
-        return soft.Learnt(caches, [Times(kind, ANSWER_TIME, ANSWER_TIME / 4, 0) for kind in KINDS])
+        return soft_state.SoftState(
+            caches, [KindTimes(kind, ANSWER_TIME, ANSWER_TIME / 4, 0) for kind in KINDS]
+        )
 
-    def adopt(self, told: list[soft.Learnt]) -> int:
+    def adopt(self, told: list[soft_state.SoftState]) -> int:
         """Merged as a router merges it, then dropped; the number of rows."""
-        merged = soft.adopted(told)
-        self.adopted = len(merged.strikes) + len(merged.times)
+        merged = soft_state.adopted(told)
+        self.adopted = len(merged.failures) + len(merged.kind_times)
         return self.adopted
--- a/standins/hollow/router.py
+++ b/standins/hollow/router.py
@@ -122,7 +122,9 @@
 
     def report(self) -> RouterReport:
         """As it stands now."""
-        row = RouterReport(self.name, self.traffic, lease=OFF, members_alive=self.member.roster.view.living)
+        row = RouterReport(
+            self.name, self.traffic, lease=OFF, members_alive=self.member.roster.view.alive_count
+        )
         if self.feed is not None:
             row.newest_purge = Position(*self.feed.place.position)
             row.lease, row.purges_received = self.holder.state(), self.holder.received
--- a/tests/sharing_mistakes.py
+++ b/tests/sharing_mistakes.py
@@ -1,32 +1,40 @@
-"""Mistakes seeded on purpose into what members share: a check that finds none of them is no check."""
+"""Faults seeded into the sharing of loads; the checks must find each of them."""
 
-from hookrouter.decisions.sharing import words as w
-from hookrouter.decisions.sharing.board import Board
+from hookrouter.decisions.sharing import protocol
 from hookrouter.decisions.sharing.exchange import Exchange
-from hookrouter.decisions.sharing.soft import Adopted
+from hookrouter.decisions.sharing.load_table import LoadTable
+from hookrouter.decisions.sharing.soft_state import Adopted
 
 
-class AddsTwiceBoard(Board):
-    def _put(self, teller, block, born):
-        before = dict(teller.rows)
-        changed = super()._put(teller, block, born)
-        for key, row in list(teller.rows.items()):
-            if key in before and before[key][0] == row[0]:  # the same saying once more
-                teller.rows[key] = (row[0], row[1] + before[key][1], row[2])
+class AddsTwiceTable(LoadTable):
+    def _store(self, reporter, report, reported_at):
+        before = dict(reporter.loads)
+        changed = super()._store(reporter, report, reported_at)
+        for key, load in list(reporter.loads.items()):
+            if key in before and before[key][0] == load[0]:  # the same report again
+                reporter.loads[key] = (load[0], load[1] + before[key][1], load[2])
         return changed
 
 
 class AddsTwice(Exchange):
-    """A saying that comes again counts again."""
+    """A report that comes again counts again."""
 
-    boards = AddsTwiceBoard
+    table_class = AddsTwiceTable
 
 
-class NeverAgesBoard(Board):
-    def blocks(self, now, name, after=-1):
+class NeverAgesTable(LoadTable):
+    def reports(self, now, name, after=-1):
         return [
-            w.Block(b.teller, b.life, b.number, 0, b.count, b.whole, b.loads)
-            for b in super().blocks(now, name, after)
+            protocol.Report(
+                report.reporter,
+                report.life,
+                report.number,
+                0,
+                report.member_count,
+                report.complete,
+                report.loads,
+            )
+            for report in super().reports(now, name, after)
         ]
 
     def forget(self, now, living=None):
@@ -34,78 +42,80 @@
 
 
 class NewsNeverAges(Exchange):
-    boards = NeverAgesBoard
+    """Reports are sent on as new and never expire."""
 
+    table_class = NeverAgesTable
 
-class FormerLifeBoard(Board):
-    def _holds(self, block, teller):
-        return block.number >= teller.number
+
+class FormerLifeTable(LoadTable):
+    def _is_current(self, report, reporter):
+        return report.number >= reporter.number
 
     def forget(self, now, living=None):
         return super().forget(now)
 
 
 class FormerLifeWins(Exchange):
-    """The higher number holds, whichever life said it, and whether that one lives."""
+    """The higher number holds, whichever process reported it, and whether that one is alive."""
 
-    boards = FormerLifeBoard
+    table_class = FormerLifeTable
 
-    def _believed(self, block):
-        return block.teller != self.name
+    def _is_plausible(self, report):
+        return report.reporter != self.name
 
 
-class LastHeardBoard(Board):
-    def _put(self, teller, block, born):
-        teller.number, teller.floor, teller.rows, teller.borns = -1, -1, {}, {}
-        return super()._put(teller, block, born)
+class LastHeardTable(LoadTable):
+    def _store(self, reporter, report, reported_at):
+        reporter.number, reporter.complete_number, reporter.loads, reporter.report_times = -1, -1, {}, {}
+        return super()._store(reporter, report, reported_at)
 
-    def _holds(self, block, teller):
-        return block.life >= teller.life
+    def _is_current(self, report, reporter):
+        return report.life >= reporter.life
 
 
 class LastHeardWins(Exchange):
-    """What comes last holds, though it was said before."""
+    """The report that arrives last holds, though it was made earlier."""
 
-    boards = LastHeardBoard
+    table_class = LastHeardTable
 
-    def _charged(self, heard):
-        self.charges.rows.pop(heard.message.block.teller, None)
-        super()._charged(heard)
+    def _on_delegation(self, received):
+        self.member_loads.rows.pop(received.message.report.reporter, None)
+        super()._on_delegation(received)
 
 
-class NoBoundBoard(Board):
-    cut = staticmethod(lambda claims, shares, floor: (sum(claims), False))
+class NoBoundTable(LoadTable):
+    capped_sum = staticmethod(lambda claims, shares, floor: (sum(claims), False))
 
 
 class NoBound(Exchange):
-    """A claim counts as it is told."""
+    """Claims are not capped."""
 
-    boards = NoBoundBoard
+    table_class = NoBoundTable
 
 
-class StepBoard(Board):
-    fade = staticmethod(lambda age, silent_after: 1.0 if age < silent_after else 0.0)
+class StepTable(LoadTable):
+    age_weight = staticmethod(lambda age, silent_after: 1.0 if age < silent_after else 0.0)
 
 
 class StepAtTheEnd(Exchange):
-    """News counts in full until it is too old."""
+    """A report counts in full until it expires."""
 
-    boards = StepBoard
+    table_class = StepTable
 
 
 class CountsItself(Exchange):
-    """Its own load is among the others'."""
+    """The router's own load is among those of the others."""
 
     def summary(self, cache, source=""):
-        return self.board.summary(self.now, cache, len(self.names), self.counts_of, source)
+        return self.table.summary(self.now, cache, len(self.neighbours), self.member_counts, source)
 
 
 class ToldSetsAside:
-    """What neighbours tell counts as seen."""
+    """Failures that neighbours report count as seen by the router itself."""
 
     @staticmethod
-    def adopted(told):
-        return Adopted({row.cache: row.strikes for learnt in told for row in learnt.caches}, {}, {}, {})
+    def adopted(states):
+        return Adopted({row.cache: row.failures for state in states for row in state.caches}, {}, {}, {})
 
 
 MISTAKES = (
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -1,5 +1,4 @@
-"""What routers share: laws of the merge, bounds on liars, schedules of faults, lists that are pulled, and real
-processes."""
+"""Sharing of loads: properties of the merge, bounds on faulty reporters, simulated faults, pulls, real processes."""
 
 import json
 import socket
@@ -20,14 +19,14 @@
 from benchmarks.sharing_world import found, lied, sayings, taken_over, trial  # noqa: E402
 from hookrouter import interface  # noqa: E402
 from hookrouter.decisions.sharing import (  # noqa: E402
-    Board,
+    LoadTable,
     Terms,
-    soft,  # noqa: E402
+    protocol,
+    soft_state,
 )
-from hookrouter.decisions.sharing import words as w  # noqa: E402
-from hookrouter.decisions.sharing.board import rank  # noqa: E402
-from hookrouter.decisions.sharing.bounds import cut  # noqa: E402
-from hookrouter.decisions.sharing.pulls import PIECE, Lender, Puller  # noqa: E402
+from hookrouter.decisions.sharing.bounds import capped_sum  # noqa: E402
+from hookrouter.decisions.sharing.load_table import rank  # noqa: E402
+from hookrouter.decisions.sharing.pulls import PIECE_BYTES, Lender, Puller  # noqa: E402
 from hookrouter.node.tally import Tally  # noqa: E402
 from hookrouter.node.told import Told  # noqa: E402
 from hookrouter.site import InvalidSiteFile, read_text  # noqa: E402
@@ -35,12 +34,12 @@
 from standins.rig import Rig  # noqa: E402
 
 NOW = 1_000_000
-SMALL = Terms(tellers=3, most_caches=4)
+SMALL = Terms(reporters=3, max_caches=4)
 few = settings(derandomize=True, deadline=None, max_examples=150)
 
 loads = s.lists(
     s.builds(
-        w.Load,
+        protocol.Load,
         s.sampled_from(("a", "b", "c", "d", "e")),
         s.sampled_from(("", "p")),
         s.integers(0, 900),
@@ -48,9 +47,9 @@
     ),
     max_size=6,
 )
-blocks = s.lists(
+reports = s.lists(
     s.builds(
-        w.Block,
+        protocol.Report,
         s.sampled_from(("r1", "r2", "r3", "r4", "r5")),
         s.integers(1, 2),
         s.integers(0, 4),
@@ -63,66 +62,71 @@
 )
 
 
-def board(*parts):
-    made = Board(SMALL)
+def load_table(*parts):
+    made = LoadTable(SMALL)
     for part in parts:
-        for block in part:
-            made.merge(NOW, block)
+        for report in part:
+            made.merge(NOW, report)
     return made
 
 
 def state(made):
-    return {name: (t.life, t.number, t.floor, t.borns, t.count, t.rows) for name, t in made.tellers.items()}
+    return {
+        name: (t.life, t.number, t.complete_number, t.report_times, t.member_count, t.loads)
+        for name, t in made.reporters.items()
+    }
 
 
-def told(made):
-    """What another board would be told of it."""
-    return [block for name in made.tellers for block in made.blocks(NOW, name)]
+def sent_on(made):
+    """The reports that a table sends to another."""
+    return [report for name in made.reporters for report in made.reports(NOW, name)]
 
 
-def plain(parts):
-    """The merge in slow lines: all blocks at hand, and what of them holds."""
-    rows = [block for part in parts for block in part if block.age < SMALL.silent_after]
-    lives = {block.teller: max(b.life for b in rows if b.teller == block.teller) for block in rows}
+def reference_merge(parts):
+    """A simple, slow model of the merge: all reports at once, and which of their loads hold."""
+    rows = [report for part in parts for report in part if report.age < SMALL.silent_after]
+    lives = {report.reporter: max(r.life for r in rows if r.reporter == report.reporter) for report in rows}
     kept = {}
     for name, life in lives.items():
-        mine = [block for block in rows if (block.teller, block.life) == (name, life)]
-        floor = max((block.number for block in mine if block.whole), default=-1)
+        own = [report for report in rows if (report.reporter, report.life) == (name, life)]
+        complete_number = max((report.number for report in own if report.complete), default=-1)
         cells = {}
-        for block in mine:
-            for load in block.loads if block.number >= floor else ():
-                cells.setdefault((load.cache, load.source), []).append((block.number, load.out, load.rate))
+        for report in own:
+            for load in report.loads if report.number >= complete_number else ():
+                cells.setdefault((load.cache, load.source), []).append(
+                    (report.number, load.in_flight, load.rate)
+                )
         best = {key: max(values) for key, values in cells.items()}
-        keys = sorted(best, key=lambda key: (-best[key][0], key))[: SMALL.most_caches]
-        kept[name] = life, floor, {key: best[key] for key in keys}
-    first = sorted(kept, key=lambda name: (rank(name), name))[: SMALL.tellers]
+        keys = sorted(best, key=lambda key: (-best[key][0], key))[: SMALL.max_caches]
+        kept[name] = life, complete_number, {key: best[key] for key in keys}
+    first = sorted(kept, key=lambda name: (rank(name), name))[: SMALL.reporters]
     return {name: kept[name] for name in first}
 
 
 @few
-@given(blocks, blocks, blocks)
-def test_the_merge_commutes_is_associative_and_twice_is_once(one, two, three):
-    """Also by way of what boards tell each other, in any order, doubled."""
-    said = sayings(one + two + three)
-    one, two, three = said[: len(one)], said[len(one) : len(one) + len(two)], said[len(one) + len(two) :]
-    whole = state(board(one, two, three))
-    assert state(board(three, two, one)) == whole == state(board(one + two, three, two, one))
-    left, right = board(one, two), board(two, three)
-    assert state(board(told(left), three)) == whole == state(board(one, told(right)))
-    assert state(board(told(left), told(right), told(left))) == whole
+@given(reports, reports, reports)
+def test_the_merge_is_commutative_associative_and_idempotent(one, two, three):
+    """Also where tables send their reports on, in any order and twice."""
+    made = sayings(one + two + three)
+    one, two, three = made[: len(one)], made[len(one) : len(one) + len(two)], made[len(one) + len(two) :]
+    whole = state(load_table(one, two, three))
+    assert state(load_table(three, two, one)) == whole == state(load_table(one + two, three, two, one))
+    left, right = load_table(one, two), load_table(two, three)
+    assert state(load_table(sent_on(left), three)) == whole == state(load_table(one, sent_on(right)))
+    assert state(load_table(sent_on(left), sent_on(right), sent_on(left))) == whole
 
 
 @few
-@given(blocks, blocks)
-def test_the_merge_is_what_the_plain_model_says_within_its_bounds(one, two):
-    made = board(one, two)
+@given(reports, reports)
+def test_the_merge_equals_the_reference_model_and_keeps_its_bounds(one, two):
+    made = load_table(one, two)
     assert {
-        name: (t.life, t.floor, {key: row[:3] for key, row in t.rows.items()})
-        for name, t in made.tellers.items()
-    } == plain((one, two))
-    assert len(made.tellers) <= SMALL.tellers
+        name: (t.life, t.complete_number, {key: row[:3] for key, row in t.loads.items()})
+        for name, t in made.reporters.items()
+    } == reference_merge((one, two))
+    assert len(made.reporters) <= SMALL.reporters
     made.forget(NOW + SMALL.silent_after)
-    assert not made.tellers  # all news ages
+    assert not made.reporters  # every report expires
 
 
 @few
@@ -132,16 +136,16 @@
     s.sampled_from((0.125, 0.2, 0.5)),
     s.floats(0, 5),
 )
-def test_one_claim_moves_a_sum_within_its_bound(honest, claim, share, floor):
+def test_one_claim_moves_a_capped_sum_no_further_than_its_bound(honest, claim, share, floor):
     shares = [max(0.125, 2 / len(honest))] * len(honest)
-    most, _ = cut([*honest, claim], [*shares, share], floor)
-    least, _ = cut([*honest, 0.0], [*shares, share], floor)
+    most, _ = capped_sum([*honest, claim], [*shares, share], floor)
+    least, _ = capped_sum([*honest, 0.0], [*shares, share], floor)
     total = sum(honest)
     assert least <= most * (1 + 1e-9)
     assert most <= max(total / (1 - share), total + floor) * (1 + 1e-9) + 1e-9
 
 
-def test_seeded_schedules_of_faults_break_nothing():
+def test_seeded_schedules_of_faults_violate_nothing():
     broken = {seed: broke for seed in range(1, 31) if (broke := trial(seed))}
     assert broken == {}
     assert {seed: broke for seed in range(1, 11) if (broke := lied(seed))} == {}
@@ -157,43 +161,44 @@
 
 
 @few
-@given(s.integers(0, 4 * PIECE), s.integers(0, 1 << 30), s.integers(1, 4))
-def test_a_list_comes_whole_through_loss_doubling_and_a_lender_that_begins_anew(size, seed, every):
+@given(s.integers(0, 4 * PIECE_BYTES), s.integers(0, 1 << 30), s.integers(1, 4))
+def test_a_list_arrives_complete_despite_loss_duplicates_and_a_restarted_lender(size, seed, every):
     data, lender = bytes(n % 251 for n in range(size)), Lender(Terms())
     puller, now, lost, lent = Puller("x", 0, 200_000), 0, 0, [data]
     for step in range(2_000):
         now += 50
         if step == 40 + seed % 9:
-            lender = Lender(Terms())  # restarted: its marks are others
-            lender.marks = 7
+            lender = Lender(Terms())  # restarted: its versions differ
+            lender.last_version = 7
             lent[0] = data[::-1]
-        asked = puller.tick(now)
-        pieces = lender.due(now) if asked is None else lender.asked(now, "m", asked, lambda: lent[0])
+        pull = puller.tick(now)
+        pieces = lender.due_pieces(now) if pull is None else lender.request(now, "m", pull, lambda: lent[0])
         while pieces:
             _, piece = pieces.pop(0)
             lost += 1
             if (seed + lost) % (every + 1) == 0:
                 continue
-            again = puller.piece(now, piece)
-            puller.piece(now, piece)  # doubled
+            again = puller.receive(now, piece)
+            puller.receive(now, piece)  # a duplicate
             if again is not None:
-                pieces += lender.asked(now, "m", again, lambda: lent[0])
+                pieces += lender.request(now, "m", again, lambda: lent[0])
         if puller.state is None:
             break
     assert puller.result in (data, data[::-1])
 
 
-def test_a_lender_keeps_its_pace_and_bounds_who_waits_and_a_puller_gives_up_in_time():
-    terms, data = Terms(pull_rate=100_000), bytes(50 * PIECE)
+def test_a_lender_keeps_its_rate_and_bounds_waiting_requests_and_a_pull_expires():
+    terms, data = Terms(pull_rate=100_000), bytes(50 * PIECE_BYTES)
     lender, sent = Lender(terms), 0
     for now in range(0, 100_000, 100):  # ten seconds
         for n in range(100):
             sent += sum(
-                len(piece.data) for _, piece in lender.asked(now, f"m{n}", w.Pull("x", 0, 0), lambda: data)
+                len(piece.data)
+                for _, piece in lender.request(now, f"m{n}", protocol.Pull("x", 0, 0), lambda: data)
             )
-    assert 900_000 < sent <= 1_000_000 + 3 * PIECE and len(lender.waiting) <= 64
+    assert 900_000 < sent <= 1_000_000 + 3 * PIECE_BYTES and len(lender.waiting) <= 64
     puller = Puller("x", 0, 10_000)
-    assert puller.tick(0) == w.Pull("x", 0, 0) and puller.tick(5_000) is not None
+    assert puller.tick(0) == protocol.Pull("x", 0, 0) and puller.tick(5_000) is not None
     assert puller.tick(10_000) is None and puller.state is None and puller.result is None
 
 
@@ -219,7 +224,7 @@
     assert seen == {}
 
 
-def test_a_starter_takes_over_half_of_what_two_neighbours_learnt_and_sets_nothing_aside_by_it():
+def test_a_starting_router_takes_over_half_of_its_neighbours_evidence_and_sets_no_cache_aside():
     def told(control):
         made = Told(SimpleNamespace(control=control, now=lambda: control.now))
         made.tally.list(SimpleNamespace(caches=FLEET, whole=True))
@@ -230,14 +235,14 @@
     lender.control.last_answer_at[n] = 900_000
     lender.health.strikes[n], lender.times.average[0], lender.times.deviation[0] = 900, 400.0, 100.0
     before = list(starter.times.deviation)
-    learnt = msgspec.msgpack.decode(msgspec.msgpack.encode(lender.learnt()), type=soft.Learnt)
+    learnt = msgspec.msgpack.decode(msgspec.msgpack.encode(lender.learnt()), type=soft_state.SoftState)
     assert starter.adopt([learnt]) == 1 + len(learnt.kinds)
     assert starter.health.strikes[starter.control.row_by_id["c1"]] == 2
     assert starter.health.usable(starter.control.row_by_id["c1"])
     assert starter.times.average[0] == 200.0 and starter.times.deviation[0] == (before[0] + 100.0) / 2
-    honest = soft.Learnt([w.Soft("c1", 0, False, 1.0, 0.0, -1, 0)], [])
+    honest = soft_state.SoftState([protocol.CacheState("c1", 0, False, 1.0, 0.0, -1, 0)], [])
     other = told(router())
-    other.adopt([learnt, honest])  # of two the lower count holds
+    other.adopt([learnt, honest])  # of two the lower failure count holds
     assert other.health.strikes[other.control.row_by_id["c1"]] == 0
 
 
@@ -262,7 +267,7 @@
         return (b"X-Since-Ms: %d" % (time.time() * 1_000),)
 
 
-def test_routers_tell_each_other_their_loads_and_one_cut_off_forgets_and_one_that_starts_pulls(tmp_path):
+def test_routers_share_loads_one_cut_off_forgets_and_one_that_restarts_pulls_soft_state(tmp_path):
     with Standing(Fresh) as cache, Standing(FeedStandIn) as feed:
         rig, ports = (
             Rig(tmp_path, keepers=3, zones=1, sections="[sharing]\nsilent after = 3 s\npull within = 5 s\n"),
@@ -286,7 +291,7 @@
                 return json.loads(out).get(name) if code == 0 else None
 
             def rate(name):
-                """Of the others, as that one is told: a second, at c0."""
+                """Sends a second of the others at c0, as that router estimates them."""
                 found = shared(name)
                 return next((row[2] for row in found["caches"] if row[0] == "c0"), 0) if found else 0
 
--- a/tests/view_mistakes.py
+++ b/tests/view_mistakes.py
@@ -1,87 +1,90 @@
-"""Mistakes seeded on purpose into the decisions on the view: a check that finds none of them is no check."""
+"""Faults seeded into the membership decisions; the checks must find each of them."""
 
-from hookrouter.decisions.view import View
-from hookrouter.decisions.view import words as w
-from hookrouter.decisions.view.members import mark
+from hookrouter.decisions.view import View, protocol
+from hookrouter.decisions.view.members import member_digest
 
 
 class IncarnationNotRaised(View):
-    """It says that it lives, under the incarnation that is suspected."""
+    """A refutation keeps the incarnation that is suspected."""
 
-    def _mine(self, incarnation, state=None):
-        super()._mine(self.me.incarnation if state is None else incarnation, state)
+    def _update_self(self, incarnation, state=None):
+        super()._update_self(self.local_member.incarnation if state is None else incarnation, state)
 
 
 class DeadRevived(View):
-    """News of one incarnation hold whatever was said before."""
+    """An update of the same incarnation holds whatever was reported before."""
 
-    holds = staticmethod(lambda new, old: new.incarnation >= old.incarnation and new.state != old.state)
+    supersedes = staticmethod(lambda new, old: new.incarnation >= old.incarnation and new.state != old.state)
 
 
 class RefutationNotSpread(View):
-    """It raises its incarnation and tells nobody."""
+    """A member raises its incarnation and does not gossip it."""
 
-    def _mine(self, incarnation, state=None):
-        super()._mine(incarnation, state)
+    def _update_self(self, incarnation, state=None):
+        super()._update_self(incarnation, state)
         if state is None:
-            self._no_news(self.me.key)
+            self._dequeue(self.local_member.key)
 
-    def _news(self, to=None):
-        return [row for row in super()._news(to) if row.key != self.me.key]
+    def _updates(self, recipient=None):
+        return [member for member in super()._updates(recipient) if member.key != self.local_member.key]
 
-    def _compared(self, answer):
-        return w.Compare(list(self.sums), answer)
+    def _comparison(self, is_reply):
+        return protocol.Compare(list(self.bucket_digests), is_reply)
 
-    def _compare(self, key, heard, compare):
-        if self.me.incarnation == 0:
-            super()._compare(key, heard, compare)
+    def _on_compare(self, key, received, compare):
+        if self.local_member.incarnation == 0:
+            super()._on_compare(key, received, compare)
 
 
 class SuspicionWithoutBound(View):
-    def _suspect(self, row, by):
-        super()._suspect(row, by)
-        self.suspicions[row.key].due = 1 << 60
+    """A suspicion never times out."""
 
-    def _witness(self, row):
+    def _suspect(self, member, accuser):
+        super()._suspect(member, accuser)
+        self.suspicions[member.key].due = 1 << 60
+
+    def _confirm(self, member):
         pass
 
-    def _said_dead(self, row, old):
+    def _on_death_report(self, member, old):
         pass
 
 
 class DigestWithoutIncarnation(View):
-    """The sum of a view leaves out what changes about a member that stays."""
-
-    mark = staticmethod(
-        lambda row: 0
-        if row.state >= w.DEAD
-        else mark(w.Row(row.name, row.life, "h", 1, "z", "r", "v", 0, w.ALIVE))
+    """The digest of a view leaves out incarnations and states."""
+
+    member_digest = staticmethod(
+        lambda member: 0
+        if member.state >= protocol.DEAD
+        else member_digest(
+            protocol.Member(member.name, member.life, "h", 1, "z", "r", "v", 0, protocol.ALIVE)
+        )
     )
 
 
 class LeaveTakenForDeath(View):
-    """A planned end is not told."""
+    """A planned leave is not announced."""
 
-    def _leave(self, event):
+    def _on_leave(self, event):
         self.left_at = self.now
 
 
 class NeverItsOwnFault(View):
-    """After it stood still it takes all for silent that nobody asked."""
+    """After a stall, a member counts probes as failed that could not be acked meanwhile."""
 
-    def _stood_still(self, span):
+    def _recover_from_stall(self, duration):
         pass
 
-    def _failed(self, seq, probe):
-        self.aware = 0
-        super()._failed(seq, probe)
+    def _probe_failed(self, seq, probe):
+        self.health_score = 0
+        super()._probe_failed(seq, probe)
 
 
 class BelievesDeaths(View):
-    """Who is said to be dead is buried."""
+    """Every reported death is believed."""
 
-    def _said_dead(self, row, old):
-        self._put(row, "on another's word", (row.by,))
+    def _on_death_report(self, member, old):
+        self._store(member, "reported by another member", (member.accuser,))
 
 
 MISTAKES = (
