--- a/benchmarks/sharing_world.py
+++ b/benchmarks/sharing_world.py
@@ -214,7 +214,7 @@
         own = row.reporter == node.name
         if node.liar == "loud" and own:
             loads = [
-                protocol.Load(x.cache, x.source, protocol.MOST_LOAD, protocol.MOST_LOAD) for x in row.loads
+                protocol.Load(x.cache, x.source, protocol.MAX_LOAD, protocol.MAX_LOAD) for x in row.loads
             ]
             return msgspec.structs.replace(row, loads=loads, member_count=max(1, row.member_count))
         if node.liar == "fresh":
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -10,8 +10,7 @@
 import msgspec
 import pytest
 from fleet import FLEET, configuration, endpoint, members, message, router
-from hypothesis import given, settings
-from hypothesis import strategies as s
+from hypothesis import given, settings, strategies
 from processes import Cache, FeedStandIn, Standing, ask
 from sharing_mistakes import MISTAKES
 
@@ -35,27 +34,27 @@
 
 NOW = 1_000_000
 SMALL = Terms(reporters=3, max_caches=4)
-few = settings(derandomize=True, deadline=None, max_examples=150)
+deterministic = settings(derandomize=True, deadline=None, max_examples=150)
 
-loads = s.lists(
-    s.builds(
+loads = strategies.lists(
+    strategies.builds(
         protocol.Load,
-        s.sampled_from(("a", "b", "c", "d", "e")),
-        s.sampled_from(("", "p")),
-        s.integers(0, 900),
-        s.integers(0, 900),
+        strategies.sampled_from(("a", "b", "c", "d", "e")),
+        strategies.sampled_from(("", "p")),
+        strategies.integers(0, 900),
+        strategies.integers(0, 900),
     ),
     max_size=6,
 )
-reports = s.lists(
-    s.builds(
+reports = strategies.lists(
+    strategies.builds(
         protocol.Report,
-        s.sampled_from(("r1", "r2", "r3", "r4", "r5")),
-        s.integers(1, 2),
-        s.integers(0, 4),
-        s.integers(0, 90_000),
-        s.integers(1, 3),
-        s.booleans(),
+        strategies.sampled_from(("r1", "r2", "r3", "r4", "r5")),
+        strategies.integers(1, 2),
+        strategies.integers(0, 4),
+        strategies.integers(0, 90_000),
+        strategies.integers(1, 3),
+        strategies.booleans(),
         loads,
     ),
     max_size=12,
@@ -103,7 +102,7 @@
     return {name: kept[name] for name in first}
 
 
-@few
+@deterministic
 @given(reports, reports, reports)
 def test_the_merge_is_commutative_associative_and_idempotent(one, two, three):
     """Also where tables send their reports on, in any order and twice."""
@@ -116,7 +115,7 @@
     assert state(load_table(sent_on(left), sent_on(right), sent_on(left))) == whole
 
 
-@few
+@deterministic
 @given(reports, reports)
 def test_the_merge_equals_the_reference_model_and_keeps_its_bounds(one, two):
     made = load_table(one, two)
@@ -129,12 +128,12 @@
     assert not made.reporters  # every report expires
 
 
-@few
+@deterministic
 @given(
-    s.lists(s.floats(0, 1e6), min_size=1, max_size=20),
-    s.floats(0, 1e12),
-    s.sampled_from((0.125, 0.2, 0.5)),
-    s.floats(0, 5),
+    strategies.lists(strategies.floats(0, 1e6), min_size=1, max_size=20),
+    strategies.floats(0, 1e12),
+    strategies.sampled_from((0.125, 0.2, 0.5)),
+    strategies.floats(0, 5),
 )
 def test_one_claim_moves_a_capped_sum_no_further_than_its_bound(honest, claim, share, floor):
     shares = [max(0.125, 2 / len(honest))] * len(honest)
@@ -160,8 +159,8 @@
 # ---- lists
 
 
-@few
-@given(s.integers(0, 4 * PIECE_BYTES), s.integers(0, 1 << 30), s.integers(1, 4))
+@deterministic
+@given(strategies.integers(0, 4 * PIECE_BYTES), strategies.integers(0, 1 << 30), strategies.integers(1, 4))
 def test_a_list_arrives_complete_despite_loss_duplicates_and_a_restarted_lender(size, seed, every):
     data, lender = bytes(n % 251 for n in range(size)), Lender(Terms())
     puller, now, lost, lent = Puller("x", 0, 200_000), 0, 0, [data]
