--- a/hookrouter/decisions/sharing/protocol.py
+++ b/hookrouter/decisions/sharing/protocol.py
@@ -152,9 +152,7 @@
     """Settings of sharing."""
 
     reporters: int = 16  # of a zone; each covers others, so one counts for an eighth of the sum at most
-    compare_interval: int = (
-        2_000  # 200 ms between comparisons with a neighbour: 500 have a report in some 2 s
-    )
+    compare_interval: int = 2_000  # 200 ms between comparisons: 500 members have a report in some 2 s
     report_interval: int = 11_000  # 1.1 s between reports of a full zone's reporter; fewer report more often
     summary_interval: int = 5_000  # 500 ms between summaries: half of the time that reports take to spread
     min_report_interval: int = 2_000  # 200 ms: one comparison interval
--- a/hookrouter/decisions/sharing/reporters.py
+++ b/hookrouter/decisions/sharing/reporters.py
@@ -9,9 +9,8 @@
 
 from .load_table import rank
 
-MIX = (
-    0x9E3779B97F4A7C15  # odd, from the golden ratio (Knuth, volume 3, 6.4): bits of both hashes reach the top
-)
+# Odd, from the golden ratio (Knuth, volume 3, 6.4): bits of both hashes reach the top.
+MIX = 0x9E3779B97F4A7C15
 MASK = (1 << 64) - 1
 
 
