--- a/hookrouter/decisions/spread/reported_load.py
+++ b/hookrouter/decisions/spread/reported_load.py
@@ -46,8 +46,8 @@
         if self.measured_at is not None and measured_at <= self.measured_at:
             return False
         self.measured_at, self.received_at = measured_at, now
-        self.in_flight, self.rate = max(0.0, summary.others_out), max(0.0, summary.others_rate)
-        self.state = TABLE[self.state, DOUBT if summary.doubted else REPORTED]
+        self.in_flight, self.rate = max(0.0, summary.others_in_flight), max(0.0, summary.others_rate)
+        self.state = TABLE[self.state, DOUBT if summary.uncertain else REPORTED]
         self.state_at(now, terms)
         return True
 
