--- a/benchmarks/capacity/measure_tables.py
+++ b/benchmarks/capacity/measure_tables.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from hookrouter.decisions.owners import words as owner_words
+from hookrouter.decisions.owners import protocol as owner_protocol
 from hookrouter.decisions.sharing import Board
 from hookrouter.decisions.sharing import words as sharing_words
 from hookrouter.decisions.view import View
@@ -138,19 +138,19 @@
     return made
 
 
-def log_entry(purge: Purge) -> owner_words.Entry:
+def log_entry(purge: Purge) -> owner_protocol.Entry:
     """An entry of the keepers' log that appends one purge to the desk's order."""
     body = pack(purge, f"{purge.n:032x}")
     command = (f"k1#1/{purge.n}", "keep", ["desk", 7, purge.n, [body]])
-    return owner_words.Entry(7, owner_words.COMMAND, command)
+    return owner_protocol.Entry(7, owner_protocol.COMMAND, command)
 
 
-def keeper_log(size: int, dice: Random) -> list[owner_words.Entry]:
+def keeper_log(size: int, dice: Random) -> list[owner_protocol.Entry]:
     """Entries that a keeper holds in memory, read as they come from the leader."""
     encoded = [
         msgspec.msgpack.encode(log_entry(purge)) for purge in purges_off_the_wire("object", size, dice)
     ]
-    return [msgspec.msgpack.decode(data, type=owner_words.Entry) for data in encoded]
+    return [msgspec.msgpack.decode(data, type=owner_protocol.Entry) for data in encoded]
 
 
 def remembered_bounds(size: int, dice: Random) -> Guard:
--- a/benchmarks/capacity/measure_wire.py
+++ b/benchmarks/capacity/measure_wire.py
@@ -10,7 +10,7 @@
 from twisted.web import server
 from twisted.web.http import datetimeToString
 
-from hookrouter.decisions.owners import words as owner_words
+from hookrouter.decisions.owners import protocol as owner_protocol
 from hookrouter.parsers import http1
 from hookrouter.purges import wire
 from hookrouter.stores import PurgeLog
@@ -77,7 +77,7 @@
 def append_message(count: int, dice: Random) -> int:
     """A message with which the leader has so many purges appended, one entry each."""
     entries = [log_entry(purge) for purge in purges_off_the_wire("object", count, dice)]
-    return len(msgspec.msgpack.encode(owner_words.Append(7, 1_000_000, 7, entries, 1_000_000, 1, EPOCH)))
+    return len(msgspec.msgpack.encode(owner_protocol.Append(7, 1_000_000, 7, entries, 1_000_000, 1, EPOCH)))
 
 
 def store_file(count: int, dice: Random) -> int:
--- a/benchmarks/capacity/size.py
+++ b/benchmarks/capacity/size.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from hookrouter.decisions.owners.words import Terms as KeeperTerms
+from hookrouter.decisions.owners.protocol import Settings as KeeperSettings
 from hookrouter.decisions.sharing.words import Terms as SharingTerms
 from hookrouter.decisions.view.words import Terms as ViewTerms
 from hookrouter.desk.local_store import KEPT, SEALED_AT_ONCE
@@ -80,8 +80,8 @@
     drift: float = DRIFT
     rounding_s: float = ROUNDING / TENTHS_A_SECOND
     duty_lease_s: float = 1.0
-    election_s: float = KeeperTerms("", 0, ()).most_wait / TENTHS_A_SECOND
-    log_entries: int = KeeperTerms("", 0, ()).most_log + KeeperTerms("", 0, ()).lag
+    election_s: float = KeeperSettings("", 0, ()).max_election_timeout / TENTHS_A_SECOND
+    log_entries: int = KeeperSettings("", 0, ()).max_log_entries + KeeperSettings("", 0, ()).log_tail
     keepers: int = 5
     tellers: int = SharingTerms().tellers
     teller_rows: int = SharingTerms().most_caches
--- a/benchmarks/owners/checks.py
+++ b/benchmarks/owners/checks.py
@@ -28,8 +28,8 @@
                 self.wrong(f"{process.name} has another state at {core.applied}")
 
     def told(self, process, told):
-        self.trace.append((self.engine.now, process.name, told.what, told.values))
-        if told.what == "duty granted" and process.core.state == "leading":
+        self.trace.append((self.engine.now, process.name, told.event, told.fields))
+        if told.event == "duty granted" and process.core.state == "leading":
             self.grants += 1
 
     def holders(self, duty):
@@ -40,9 +40,9 @@
             for key, (number, process, life) in rows.items()
             if process.up
             and process.life == life
-            and (warrant := process.holder.warrants.get(duty)) is not None
-            and warrant.number == number
-            and process.clock() < warrant.until
+            and (warrant := process.holder.leases.get(duty)) is not None
+            and warrant.fencing_token == number
+            and process.clock() < warrant.expires_at
         ]
 
     def gained(self, process, duty, number):
@@ -69,12 +69,14 @@
             self.wrong(f"the resource of {duty} took {number} after {rows[-1]}")
         rows.append(number)
         self.fence[duty] = max(number, self.fence.get(duty, 0))
-        if process.up and not process.paused and duty in process.holder.warrants:
+        if process.up and not process.paused and duty in process.holder.leases:
             process.ask(DONE, [duty, number, process.steps.get(duty, self.step_of(duty)) + 1])
 
     def step_of(self, duty):
-        cores = [p.core for p in self.keepers.values() if p.core is not None and duty in p.core.duties.rows]
-        return max((core.duties.rows[duty].step for core in cores), default=0)
+        cores = [
+            p.core for p in self.keepers.values() if p.core is not None and duty in p.core.duties.by_name
+        ]
+        return max((core.duties.by_name[duty].step for core in cores), default=0)
 
     def answered(self, process, asked, result):
         if asked.command == DONE and result[0] == "done":
@@ -96,11 +98,11 @@
                 f"after the faults {len(lead)} lead: {[(c.name, c.state, c.term, c.doubt) for c in cores]}"
             )
             return self.breaks
-        for duty in lead[0].duties.rows:
+        for duty in lead[0].duties.by_name:
             if len(self.holders(duty)) != 1:
                 self.wrong(f"after the faults {duty} is held by {self.holders(duty)}")
         for duty, _, step in self.acknowledged:
-            if lead[0].duties.rows[duty].step < step:
+            if lead[0].duties.by_name[duty].step < step:
                 self.wrong(f"step {step} of {duty} was acknowledged and is not there")
         if self.wanted:
             self.wrong(f"never declared: {self.wanted}")
--- a/benchmarks/owners/costs.py
+++ b/benchmarks/owners/costs.py
@@ -16,7 +16,7 @@
     """Seconds of each of so many commands, one after the other, until the log has agreed on it."""
     from twisted.internet import reactor
 
-    from hookrouter.decisions.owners import words as w
+    from hookrouter.decisions.owners import protocol
     from hookrouter.fleet.wire import Peers
 
     who, spans, state = "bench", [], {"n": 0, "began": 0.0, "to": None}
@@ -25,12 +25,12 @@
         return f"{who}#{state['life']}/{state['n']}"
 
     def ask():
-        message = w.Ask(key(), "declare", [f"none/{state['n']}"])
+        message = protocol.CommandRequest(key(), "declare", [f"none/{state['n']}"])
         for name in [state["to"]] if state["to"] else keepers:
             peers.send(name, message)
 
     def heard(sender, message):
-        if not isinstance(message, w.Answer) or message.key != key():
+        if not isinstance(message, protocol.Answer) or message.key != key():
             return
         if message.result is None:
             return
@@ -62,14 +62,14 @@
 
 def durable_spans(folder, count):
     """The same of one write of a keeper's store, in one process."""
-    from hookrouter.decisions.owners import words as w
+    from hookrouter.decisions.owners import protocol
     from hookrouter.stores.keeper_log import KeeperLog
 
     log, spans = KeeperLog(Path(folder) / "one.db", "one"), []
     for n in range(count):
-        entry = w.Entry(1, w.COMMAND, [f"bench#1/{n}", "declare", [f"none/{n}"]])
+        entry = protocol.Entry(1, protocol.COMMAND, [f"bench#1/{n}", "declare", [f"none/{n}"]])
         began = time.monotonic()
-        log.write(w.Persist(n, 1, None, n, 0, None, (), n, (entry,), None, 0, 0))
+        log.write(protocol.Persist(n, 1, None, n, 0, None, (), n, (entry,), None, 0, 0))
         spans.append(time.monotonic() - began)
     log.close()
     return sorted(spans)
--- a/benchmarks/owners/faults.py
+++ b/benchmarks/owners/faults.py
@@ -66,11 +66,11 @@
 
     def forgetful(self):
         """One at a time may have forgotten: two of three are more than is promised to be noticed."""
-        return any(not p.up or p.core.doubt for p in self.keepers.values() if p.core is not None)
+        return any(not p.up or p.core.integrity_error for p in self.keepers.values() if p.core is not None)
 
     def put_back(self, keeper):
         if keeper.up or any(
-            not p.up or p.paused or p.full or p.core.doubt or p.core.state == "broken"
+            not p.up or p.paused or p.full or p.core.integrity_error or p.core.state == "broken"
             for p in self.keepers.values()
             if p is not keeper and p.core is not None
         ):
--- a/benchmarks/owners/model.py
+++ b/benchmarks/owners/model.py
@@ -9,14 +9,13 @@
 from collections import deque
 from typing import NamedTuple
 
-from hookrouter.decisions.owners import Keeper
-from hookrouter.decisions.owners import words as w
+from hookrouter.decisions.owners import Keeper, protocol
 from hookrouter.decisions.owners.duties import DECLARE
 
 from .processes import Disk
 
 NAMES, STANDING = ("a", "b", "c"), ("a", "b")  # the third only votes: it stands for both others
-TERMS = w.Terms("", 1, NAMES, least_wait=0, most_wait=0, most_log=1000)
+TERMS = protocol.Settings("", 1, NAMES, min_election_timeout=0, max_election_timeout=0, max_log_entries=1000)
 
 
 class Bounds(NamedTuple):
@@ -33,23 +32,25 @@
 
     def __init__(self, make, bounds):
         self.disks = {name: Disk() for name in NAMES}
-        self.cores = {name: make(TERMS._replace(name=name), w.Stored(), 0, 1) for name in NAMES}
+        self.cores = {name: make(TERMS._replace(name=name), protocol.Stored(), 0, 1) for name in NAMES}
         self.writes = {}  # name -> Persist that is out
         self.net, self.left, self.agreed, self.leaders = [], bounds, {}, {}
         for core in self.cores.values():
-            core.known = set(NAMES)
+            core.hello_replies = set(NAMES)
 
     def carry(self, name, effects):
         for effect in effects:
-            if isinstance(effect, w.Send) and not isinstance(effect.message, (w.Hello, w.Known)):
+            if isinstance(effect, protocol.Send) and not isinstance(
+                effect.message, (protocol.Hello, protocol.HelloReply)
+            ):
                 message = effect.message
                 if (
-                    not isinstance(message, w.Vote)
+                    not isinstance(message, protocol.Vote)
                     or message.granted
-                    or message.term > self.cores[effect.to].term
+                    or message.term > self.cores[effect.receiver].term
                 ):
-                    self.net.append((name, effect.to, message))
-            elif isinstance(effect, w.Persist):
+                    self.net.append((name, effect.receiver, message))
+            elif isinstance(effect, protocol.Persist):
                 self.writes[name] = effect
 
     def event(self, name, event):
@@ -63,18 +64,21 @@
                 (
                     core.state,
                     core.term,
-                    core.voted,
+                    core.voted_for,
                     tuple(core.entries),
                     core.commit,
-                    core.durable,
-                    sorted(core.granted),
+                    core.durable_index,
+                    sorted(core.votes),
                     core.voters,
                     core.learners,
-                    core.doubt,
-                    core.life,
-                    [(n, p.next, p.match, p.busy, p.life) for n, p in sorted(core.peers.items())],
-                    core.inflight_held,
-                    core.held,
+                    core.integrity_error,
+                    core.generation,
+                    [
+                        (n, p.next_index, p.match_index, p.append_pending, p.generation)
+                        for n, p in sorted(core.peers.items())
+                    ],
+                    core.inflight_sends,
+                    core.next_sends,
                     core.dirty,
                     self.writes.get(name),
                     self.disks[name].stored[:4],
@@ -109,7 +113,7 @@
                 yield "flush", name
             if (
                 name in STANDING
-                and not core.aside()
+                and not core.exclusion()
                 and core.state != "leading"
                 and core.term < left.terms
                 and name not in self.writes
@@ -119,7 +123,7 @@
                 yield "propose", name
             if left.crashes:
                 yield "crash", name
-            if left.put_back and core.written > 1:
+            if left.put_back and core.write_count > 1:
                 yield "put_back", name
 
     def spend(self, what):
@@ -127,7 +131,7 @@
 
     def deliver(self, n):
         sender, to, message = self.net.pop(n)
-        self.event(to, w.Heard(sender, message))
+        self.event(to, protocol.Received(sender, message))
 
     def lose(self, n):
         self.spend("lost")
@@ -141,23 +145,23 @@
     def flush(self, name):
         write = self.writes.pop(name)
         self.disks[name].write(write)
-        self.event(name, w.Wrote(write.token, True))
+        self.event(name, protocol.WriteFinished(write.write_id, True))
 
     def wait(self, name):
         core = self.cores[name]
-        core.out = []
+        core.effects = []
         core.state = "asking"
-        core._step("likely")  # asking beforehand guards no safety, and would double the messages
+        core._transition("likely")  # asking beforehand guards no safety, and would double the messages
         core._flush()
-        self.carry(name, core.out)
+        self.carry(name, core.effects)
 
     def propose(self, name):
         self.spend("proposals")
         core = self.cores[name]
-        core.out = []
-        core.propose(w.COMMAND, (f"{name}#1/1", DECLARE, ["d"]))
+        core.effects = []
+        core.propose(protocol.COMMAND, (f"{name}#1/1", DECLARE, ["d"]))
         core._flush()
-        self.carry(name, core.out)
+        self.carry(name, core.effects)
 
     def crash(self, name, stored=None):
         if stored is None:
@@ -166,17 +170,17 @@
         self.net = [row for row in self.net if name not in row[:2]]
         old = self.cores[name]
         core = self.cores[name] = type(old)(
-            TERMS._replace(name=name, life=old.life + 1), stored or self.disks[name].stored, 0, 1
+            TERMS._replace(name=name, generation=old.generation + 1), stored or self.disks[name].stored, 0, 1
         )
-        marks = max(other.marks.get(name, 0) for other in self.cores.values() if other is not core)
-        core.known = set(NAMES)  # all others answer at once
-        if marks > core.written:
-            core._doubt("the store is older than what others know of it")
+        marks = max(other.write_counts.get(name, 0) for other in self.cores.values() if other is not core)
+        core.hello_replies = set(NAMES)  # all others answer at once
+        if marks > core.write_count:
+            core._set_integrity_error("the store is older than what others know of it")
 
     def put_back(self, name):
         self.spend("put_back")
-        self.disks[name].stored = w.Stored()
-        self.crash(name, w.Stored())
+        self.disks[name].stored = protocol.Stored()
+        self.crash(name, protocol.Stored())
 
 
 def explore(bounds, make=Keeper, most=1 << 60):
--- a/benchmarks/owners/processes.py
+++ b/benchmarks/owners/processes.py
@@ -4,8 +4,7 @@
 from an older copy.
 """
 
-from hookrouter.decisions.owners import Holder
-from hookrouter.decisions.owners import words as w
+from hookrouter.decisions.owners import Holder, protocol
 from hookrouter.decisions.owners.duties import DONE
 
 SECOND = 10_000
@@ -14,29 +13,29 @@
 
 
 class Disk:
-    """What was flushed, as w.Stored; copies of earlier."""
+    """What was flushed, as protocol.Stored; copies of earlier."""
 
     def __init__(self):
-        self.stored = w.Stored()
+        self.stored = protocol.Stored()
         self.copies = []
 
     def write(self, p):
         old = self.stored
-        kept = {n: e for n, e in enumerate(old.entries, old.base + 1) if p.base < n <= p.cut}
-        kept.update(enumerate(p.entries, p.cut + 1))
+        kept = {n: e for n, e in enumerate(old.entries, old.base + 1) if p.base < n <= p.truncate_after}
+        kept.update(enumerate(p.entries, p.truncate_after + 1))
         assert sorted(kept) == list(range(p.base + 1, p.base + 1 + len(kept))), "a gap in the log"
         entries = [kept[n] for n in sorted(kept)]
-        self.stored = w.Stored(
+        self.stored = protocol.Stored(
             p.term,
-            p.voted,
-            p.written,
-            p.abstain,
+            p.voted_for,
+            p.write_count,
+            p.no_vote_through,
             p.snapshot or old.snapshot,
             p.base,
             p.base_term,
             tuple(entries),
-            p.marks,
-            p.doubt,
+            p.write_counts,
+            p.integrity_error,
         )
 
 
@@ -94,9 +93,9 @@
         self.flush, self.full, self.alarm = FLUSH, False, 0
 
     def begin(self):
-        terms = self.terms._replace(name=self.name, life=self.life)
+        terms = self.terms._replace(name=self.name, generation=self.life)
         self.core = self.world.make(terms, self.disk.stored, self.clock(), self.world.dice.randrange(1 << 30))
-        self.carry(self.core.take(self.clock(), w.Begin()))
+        self.carry(self.core.take(self.clock(), protocol.Started()))
         self.tick(self.alarm)
 
     def event(self, event):
@@ -104,11 +103,11 @@
 
     def carry(self, effects):
         for effect in effects:
-            if isinstance(effect, w.Send):
-                self.world.send(self.name, effect.to, effect.message)
-            elif isinstance(effect, w.Persist):
+            if isinstance(effect, protocol.Send):
+                self.world.send(self.name, effect.receiver, effect.message)
+            elif isinstance(effect, protocol.Persist):
                 self.later(self.flush * self.world.dice.uniform(0.5, 2), self.flushed, effect)
-            elif isinstance(effect, w.Told):
+            elif isinstance(effect, protocol.LogEvent):
                 self.world.told(self, effect)
         self.world.checked(self)
         self.alarm += 1
@@ -116,24 +115,24 @@
 
     def tick(self, alarm):
         if alarm == self.alarm:
-            self.event(w.Tick())
+            self.event(protocol.Tick())
 
     def flushed(self, persist):
         if self.full:
-            self.event(w.Wrote(persist.token, False))
+            self.event(protocol.WriteFinished(persist.write_id, False))
             self.later(SECOND, self.reopen)
             return
         self.disk.write(persist)
-        self.event(w.Wrote(persist.token, True))
+        self.event(protocol.WriteFinished(persist.write_id, True))
 
     def reopen(self):
         if self.full:
             self.later(SECOND, self.reopen)
         else:
-            self.event(w.Reopened(self.disk.stored))
+            self.event(protocol.StoreReopened(self.disk.stored))
 
     def heard(self, sender, message):
-        self.event(w.Heard(sender, message))
+        self.event(protocol.Received(sender, message))
 
 
 class MemberProcess(Process):
@@ -162,7 +161,7 @@
         self.later(max(1, self.holder.alarm() - self.clock()), self.tick, self.alarm)
 
     def send(self, message):
-        to = None if self.holder.unheard(self.clock()) else self.to
+        to = None if self.holder.leader_silent(self.clock()) else self.to
         self.world.send(self.name, to or self.world.dice.choice(self.world.names), message)
 
     def _lost(self, lost):
@@ -170,16 +169,16 @@
             self.world.lost(self, duty, number)
 
     def heard(self, sender, message):
-        if isinstance(message, w.Answer):
-            if message.elsewhere is not None or message.result is None:
-                self.to = message.elsewhere
+        if isinstance(message, protocol.Answer):
+            if message.leader is not None or message.result is None:
+                self.to = message.leader
             if self.asked is not None and message.key == self.asked[0].key and message.result is not None:
                 asked, self.asked = self.asked[0], None
                 self.world.answered(self, asked, message.result)
                 if asked.command == DONE and message.result[0] == "done":
                     self.steps[asked.fields[0]] = message.result[2]
             return
-        gained, lost, renew = self.holder.heard(self.clock(), message)
+        gained, lost, renew = self.holder.on_renewed(self.clock(), message)
         self._lost(lost)
         for duty, number, _ in gained:
             self.world.gained(self, duty, number)
@@ -190,10 +189,10 @@
 
     def work(self, duty, number):
         """One step: what the resource says is next, done there under the number, then noted in the log."""
-        warrant = self.holder.warrants.get(duty)
-        if warrant is None or warrant.number != number:
+        warrant = self.holder.leases.get(duty)
+        if warrant is None or warrant.fencing_token != number:
             return
-        act = warrant.act(self.clock(), "step")
+        act = warrant.authorize(self.clock(), "step")
         if act is not None:
             # Between its look at the clock and the resource lies a way on which it may be late.
             self.world.engine.after(
@@ -204,7 +203,7 @@
     def ask(self, command, fields):
         if self.asked is None:
             self.count += 1
-            message = w.Ask(f"{self.name}#{self.life}/{self.count}", command, fields)
+            message = protocol.CommandRequest(f"{self.name}#{self.life}/{self.count}", command, fields)
             self.asked = (message,)
             self._again(message)
 
--- a/benchmarks/owners/world.py
+++ b/benchmarks/owners/world.py
@@ -5,8 +5,7 @@
 
 from random import Random
 
-from hookrouter.decisions.owners import Keeper
-from hookrouter.decisions.owners import words as w
+from hookrouter.decisions.owners import Keeper, protocol
 from hookrouter.decisions.owners.duties import DECLARE
 from hookrouter.lab.engine import Engine
 
@@ -21,7 +20,7 @@
     def __init__(self, seed, keepers=3, members=3, duties=4, make=Keeper, spare=0, terms=None, fenced=True):
         self.dice, self.engine, self.make, self.fenced = Random(seed), Engine(), make, fenced
         self.names = tuple(f"k{n}" for n in range(keepers))
-        self.terms = terms or w.Terms("", 0, self.names, most_log=60, lag=10)
+        self.terms = terms or protocol.Settings("", 0, self.names, max_log_entries=60, log_tail=10)
         self.breaks, self.trace = [], []
         self.keepers = {
             name: KeeperProcess(self, name, self.terms)
--- a/benchmarks/replicas/store.py
+++ b/benchmarks/replicas/store.py
@@ -1,8 +1,8 @@
 """What a keeper's copy of a duty's records has on disk, as a plain list."""
 
-from hookrouter.decisions.owners import words as w
+from hookrouter.decisions.owners import protocol
 from hookrouter.decisions.owners.duties import INITIAL_HASH, chained_hash
-from hookrouter.decisions.replicas import copy as c
+from hookrouter.decisions.replicas import record_copy
 
 DUTY = "purges"
 PART = 200  # bytes sent to one that fetches: a few records, so catching up takes many parts
@@ -32,7 +32,7 @@
         return made
 
     def position(self):
-        return c.Store(self.floor + len(self.rows), self.seals[-1], self.floor, self.index)
+        return record_copy.StorePosition(self.floor + len(self.rows), self.seals[-1], self.floor, self.index)
 
     def take(self, steps, index):
         """A new store with all of it done, or CopyDiffers."""
@@ -86,10 +86,10 @@
     def part(self, asked):
         own, newest = self._seal_at(asked.after), self.floor + len(self.rows)
         if asked.after > newest:
-            start, seal, agrees, bodies = asked.after, asked.seal, True, []
+            start, seal, agrees, bodies = asked.after, asked.chain_hash, True, []
         else:
             start = max(asked.after, self.floor)
-            seal, agrees = self._seal_at(start), asked.after < self.floor or own == asked.seal
+            seal, agrees = self._seal_at(start), asked.after < self.floor or own == asked.chain_hash
             bodies, size = [], 0
             for body in self.rows[start - self.floor :]:
                 bodies.append(body)
@@ -98,5 +98,5 @@
                     break
         if asked.names:
             names = sorted(self.names.items())
-            return w.Fetched(DUTY, asked.turn, start, seal, [], agrees, self.index, names)
-        return w.Fetched(DUTY, asked.turn, start, seal, bodies, agrees, self.index)
+            return protocol.Fetched(DUTY, asked.request_id, start, seal, [], agrees, self.index, names)
+        return protocol.Fetched(DUTY, asked.request_id, start, seal, bodies, agrees, self.index)
--- a/benchmarks/replicas/world.py
+++ b/benchmarks/replicas/world.py
@@ -4,10 +4,9 @@
 and one list of what was agreed.
 """
 
-from hookrouter.decisions.owners import Keeper
-from hookrouter.decisions.owners import words as w
-from hookrouter.decisions.owners.duties import DECLARE, KEEP, NAMES, OPEN, SWEEP
-from hookrouter.decisions.replicas import copy as c
+from hookrouter.decisions.owners import Keeper, protocol
+from hookrouter.decisions.owners.duties import APPEND, DECLARE, FOLLOWERS, OPEN, SWEEP
+from hookrouter.decisions.replicas import record_copy
 
 from ..owners.processes import SECOND
 from ..owners.world import World
@@ -18,7 +17,7 @@
 class CopyWorld(World):
     """lies: whether what a keeper sends to one that fetches may be damaged on its way out of its disk."""
 
-    def __init__(self, seed, make=Keeper, make_copy=c.Copy, lies=False):
+    def __init__(self, seed, make=Keeper, make_copy=record_copy.RecordCopy, lies=False):
         self.make_copy, self.lies, self.put_away = make_copy, lies, 0
         self.records, self.names_noted, self.made, self.epochs = {}, {}, 0, []
         self.swept = 0
@@ -35,7 +34,7 @@
 
     def answered(self, process, asked, result):
         super().answered(process, asked, result)
-        if asked.command in (OPEN, KEEP, NAMES):
+        if asked.command in (OPEN, APPEND, FOLLOWERS):
             number = asked.fields[1]
             if result[0] == "kept":
                 for n, body in enumerate(asked.fields[3], asked.fields[2]):
@@ -72,17 +71,24 @@
         """What a sweeping owner does, straight at the leader: fold some of what is agreed."""
         for process in self.keepers.values():
             core = process.core
-            if process.up and not process.paused and core.state == "leading" and DUTY in core.duties.orders:
-                newest = core.duties.orders[DUTY].newest
-                row = core.duties.rows.get("s")
+            if (
+                process.up
+                and not process.paused
+                and core.state == "leading"
+                and DUTY in core.duties.sequences
+            ):
+                newest = core.duties.sequences[DUTY].newest
+                row = core.duties.by_name.get("s")
                 if row is None:
-                    process.event(w.Heard("s", w.Ask("s#1/1", DECLARE, ["s"])))
-                elif newest > 20 and row.number:
+                    process.event(protocol.Received("s", protocol.CommandRequest("s#1/1", DECLARE, ["s"])))
+                elif newest > 20 and row.fencing_token:
                     process.event(
-                        w.Heard(
+                        protocol.Received(
                             "s",
-                            w.Ask(
-                                f"s#1/{self.made}", SWEEP, ["s", row.number, row.step + 1, DUTY, newest - 15]
+                            protocol.CommandRequest(
+                                f"s#1/{self.made}",
+                                SWEEP,
+                                ["s", row.fencing_token, row.step + 1, DUTY, newest - 15],
                             ),
                         )
                     )
@@ -105,7 +111,9 @@
         elif (
             what in (2, 3)
             and keeper.up
-            and all(k.up and not k.paused and k.copy.state == c.WHOLE for k in self.keepers.values())
+            and all(
+                k.up and not k.paused and k.copy.state == record_copy.COMPLETE for k in self.keepers.values()
+            )
         ):
             keeper.kill()  # one copy at a time is lost, or put back: of more, what only they held is gone
             keeper.plain = keeper.copies.pop(0) if what == 3 and keeper.copies else PlainStore()
@@ -136,7 +144,7 @@
         self.engine.run(self.engine.now + 3 * SECOND)
         newest, states = max(self.records, default=0), set()
         for keeper in self.keepers.values():
-            if not keeper.copy.whole() or keeper.core.unfiled:
+            if not keeper.copy.is_complete() or keeper.core.unstored_entries:
                 self.wrong(f"after the faults the copy of {keeper.name} is not whole: {keeper.copy.state}")
             self.compared(keeper)
             store = keeper.plain
@@ -150,7 +158,7 @@
         return self.breaks
 
 
-def standing(make=Keeper, make_copy=c.Copy):
+def standing(make=Keeper, make_copy=record_copy.RecordCopy):
     """What is broken where no copy can be written for long and the log goes on: it has to hold all of it."""
     world = CopyWorld(1, make, make_copy)
     world.engine.run(5 * SECOND)
--- a/hookrouter/command/fleet/asking.py
+++ b/hookrouter/command/fleet/asking.py
@@ -21,7 +21,7 @@
     """
     from twisted.internet import reactor
 
-    from ...decisions.owners import words as w
+    from ...decisions.owners import protocol
     from ...fleet.wire import Peers
 
     who, answers = f"cmd-{os.getpid()}", {}
@@ -37,7 +37,7 @@
         reactor.callLater(ANSWER_WITHIN, reactor.stop)
 
     def heard(sender, answer):
-        if not isinstance(answer, w.Answer) or message is None or answer.key != message.key:
+        if not isinstance(answer, protocol.Answer) or message is None or answer.key != message.key:
             return
         if every:
             answers.setdefault(sender, answer.result)
@@ -69,9 +69,9 @@
 
 
 def looked(section):
-    from ...decisions.owners import words as w
+    from ...decisions.owners import protocol
 
-    return ask(section, lambda who, life: w.Look(f"{who}#{life}/1"), True)
+    return ask(section, lambda who, life: protocol.StatusRequest(f"{who}#{life}/1"), True)
 
 
 def leading(found):
@@ -81,10 +81,12 @@
 
 
 def commanded(site_file, command, fields):
-    from ...decisions.owners import words as w
+    from ...decisions.owners import protocol
 
     section = section_of(site_file)
-    answer = ask(section, lambda who, life: w.Ask(f"{who}#{life}/1", command, fields)).get("answer")
+    answer = ask(section, lambda who, life: protocol.CommandRequest(f"{who}#{life}/1", command, fields)).get(
+        "answer"
+    )
     if answer is None:
         raise KeepersUnreachable("no keeper took it; hookrouter fleet status says why")
     return answer
--- a/hookrouter/command/fleet/records.py
+++ b/hookrouter/command/fleet/records.py
@@ -130,7 +130,7 @@
 
     Example: hookrouter fleet import --site site.ini
     """
-    from ...decisions.owners import words as w
+    from ...decisions.owners import protocol
 
     wrong, held = [], []
 
@@ -147,10 +147,10 @@
             return None
         ((name, (duty, _, newest, _, seal)),) = copies
         held.extend((name, newest))
-        return w.Ask(f"{who}#{life}/2", "adopt", [duty, life, newest, bytes.fromhex(seal)])
+        return protocol.CommandRequest(f"{who}#{life}/2", "adopt", [duty, life, newest, bytes.fromhex(seal)])
 
     section = section_of(site_file)
-    answers = ask(section, lambda who, life: w.Look(f"{who}#{life}/1"), True, decide)
+    answers = ask(section, lambda who, life: protocol.StatusRequest(f"{who}#{life}/1"), True, decide)
     if wrong:
         raise UsageError(wrong[0])
     answer = answers.get("answer")
--- a/hookrouter/command/fleet/rehearsal.py
+++ b/hookrouter/command/fleet/rehearsal.py
@@ -58,16 +58,16 @@
     """The exit code: 0 where every duty has an owner at the end."""
     from twisted.internet import reactor, task
 
-    from ...decisions.owners import words as w
+    from ...decisions.owners import protocol
     from ...fleet.wire import Peers
 
     watch, count, life = Watch(list(section["keepers"])), [0], int(time.time() * 1_000)
     who = f"drill-{os.getpid()}"
 
     def heard(sender, message):
-        if isinstance(message, w.Answer) and isinstance(message.result, dict):
+        if isinstance(message, protocol.Answer) and isinstance(message.result, dict):
             watch.heard(sender, message.result)
-        elif isinstance(message, w.Answer) and isinstance(message.result, list):
+        elif isinstance(message, protocol.Answer) and isinstance(message.result, list):
             watch.line(f"{sender} says: {message.result[0]}")
 
     keepers = dict(section["keepers"])
@@ -79,8 +79,8 @@
 
     def look():
         for keeper in section["keepers"]:
-            peers.send(keeper, w.Look(key()))
-            peers.send(keeper, w.Roster(key()))
+            peers.send(keeper, protocol.StatusRequest(key()))
+            peers.send(keeper, protocol.RosterRequest(key()))
         watch.look()
 
     def strike():
@@ -91,7 +91,7 @@
             return
         watch.line(f"--- {name}: {fault}" + ("" if fault == "kill" else f" for {span:g} s"))
         if fault == "cut":
-            peers.send(name, w.Drill(key(), int(span * 10_000)))
+            peers.send(name, protocol.DrillRequest(key(), int(span * 10_000)))
             return
         try:
             os.kill(pid, signal.SIGKILL if fault == "kill" else signal.SIGSTOP)
--- a/hookrouter/command/fleet/shared.py
+++ b/hookrouter/command/fleet/shared.py
@@ -18,9 +18,9 @@
 
     Example: hookrouter fleet shared --site site.ini
     """
-    from ...decisions.owners import words as w
+    from ...decisions.owners import protocol
 
-    found = ask(section_of(site_file), lambda who, life: w.Roster(f"{who}#{life}/1"), True)
+    found = ask(section_of(site_file), lambda who, life: protocol.RosterRequest(f"{who}#{life}/1"), True)
     rows = {name: row["shared"] for name, row in sorted(found.items()) if "shared" in row}
     if not rows:
         raise KeepersUnreachable(
--- a/hookrouter/command/fleet/showing.py
+++ b/hookrouter/command/fleet/showing.py
@@ -63,7 +63,7 @@
 
     Example: hookrouter fleet members --site site.ini
     """
-    from ...decisions.owners import words as w
+    from ...decisions.owners import protocol
 
     section = section_of(site_file)
     if watch:
@@ -79,7 +79,7 @@
                 time.sleep(1)
         except KeyboardInterrupt:
             return
-    found = ask(section, lambda who, life: w.Roster(f"{who}#{life}/1"), True)
+    found = ask(section, lambda who, life: protocol.RosterRequest(f"{who}#{life}/1"), True)
     if not found:
         raise KeepersUnreachable("no keeper answers")
     if as_json:
@@ -108,9 +108,11 @@
 
     Example: hookrouter fleet explain k2 --site site.ini
     """
-    from ...decisions.owners import words as w
+    from ...decisions.owners import protocol
 
-    found = ask(section_of(site_file), lambda who, life: w.Roster(f"{who}#{life}/1", name), True)
+    found = ask(
+        section_of(site_file), lambda who, life: protocol.RosterRequest(f"{who}#{life}/1", name), True
+    )
     rows = sorted((at, teller, *rest) for teller, told in found.items() for at, *rest in told)
     if not rows:
         raise KeepersUnreachable(f"no keeper has heard of {name}" if found else "no keeper answers")
--- a/hookrouter/decisions/__init__.py
+++ b/hookrouter/decisions/__init__.py
@@ -1,4 +1,5 @@
-"""What members of a fleet decide, each a package of its own: events and a time in, effects out; no I/O.
+"""The fleet members' decisions, one package each, as cores without I/O: events and a time in, effects out.
 
-A floor of its own: the stores, desk, feed, node and fleet above it use it, control and purges stand below.
+In the layering of packages, stores, desk, feed, node and fleet are above and use this one; control and purges
+are below.
 """
--- a/hookrouter/decisions/owners/fence.py
+++ b/hookrouter/decisions/owners/fence.py
@@ -1,21 +1,24 @@
-"""What a resource keeps so that an owner who wakes up late does no harm (Burrows, Chubby, 2006:
-sequencers).
+"""Fencing tokens: a resource rejects effects of owners whose grant has been superseded.
+
+See Burrows, "The Chubby lock service", 2006, on sequencers.
 """
 
 
 class Fence:
-    """highest: {duty: number} as it stood on disk. The host writes admit's number down before it acts on
-    it.
+    """Keeps the highest fencing token seen for each duty.
+
+    highest_tokens: {duty: token} as read from disk. The caller must persist a token that admit() accepts
+    before it carries out the effect.
     """
 
-    def __init__(self, highest=()):
-        self.highest = dict(highest)
-        self.refused = 0
+    def __init__(self, highest_tokens=()):
+        self.highest_tokens = dict(highest_tokens)
+        self.rejected = 0
 
-    def admit(self, duty, number):
-        """Whether an effect with that number may be had; a lower one than was ever seen may not."""
-        if number < self.highest.get(duty, 0):
-            self.refused += 1
+    def admit(self, duty, token):
+        """Returns whether an effect may be carried out; False if a higher token was seen for the duty."""
+        if token < self.highest_tokens.get(duty, 0):
+            self.rejected += 1
             return False
-        self.highest[duty] = number
+        self.highest_tokens[duty] = token
         return True
--- a/hookrouter/decisions/owners/keeper/__init__.py
+++ b/hookrouter/decisions/owners/keeper/__init__.py
@@ -1,16 +1,15 @@
-"""One of the few who decide: elections, the log, commit, who keeps; and, while it leads, who owns which duty.
+"""A keeper, a server of the replicated log: elections, replication, membership and duty placement.
 
-After Raft as Ongaro's thesis has it (2014): pre-vote, check of the majority, transfer, learners first, one
-change of keepers at a time and only after an entry of the leader's own term (his correction of 2015). Beyond
-it: a store that has forgotten something, by damage or because it was put back from an older copy, sets its
-keeper *aside*: it takes entries and neither votes nor counts until the others have struck it from the voters
-and taken it in again.
+Implements Raft as in Ongaro's thesis (2014): pre-vote, check quorum, leadership transfer, new servers joining
+as learners, and one membership change at a time, only after an entry of the leader's own term is committed
+(Ongaro's correction of 2015). In addition, a keeper whose store has lost data, by damage or because it was
+restored from an older copy, excludes itself: it accepts entries, but neither votes nor counts towards a
+majority until the others have removed it from the voters and added it again.
 
-Nothing that must be on disk first leaves before the host has said that it is: it is not among the effects
-until then.
+A message that depends on durable state is not among the effects until the host has reported the write.
 """
 
 from .core import Keeper
-from .states import BROKEN
+from .states import STORE_FAILED
 
-__all__ = ["BROKEN", "Keeper"]
+__all__ = ["STORE_FAILED", "Keeper"]
--- a/hookrouter/decisions/owners/keeper/core.py
+++ b/hookrouter/decisions/owners/keeper/core.py
@@ -1,154 +1,169 @@
-"""A keeper: its parts, the loop that takes events, and the tables of states and messages."""
+"""The Keeper class: its state, its event dispatch, and the tables of transitions, messages and events."""
 
 from collections import deque
 from random import Random
 
-from .. import words as w
+from .. import protocol
 from ..duties import Duties
-from .agreed import Agreed
-from .disk import Disk
+from .applying import Applying
+from .durability import Durability
 from .elections import Elections
 from .following import Following
 from .leading import Leading
 from .log import Log
-from .members import Members
+from .member_requests import MemberRequests
 from .peer import LONG_AGO
-from .recall import Recollection
+from .recovery import Recovery
+from .sizes import record_bytes
 from .states import (
-    ALONE,
-    ASKING,
-    BROKE,
-    BROKEN,
-    FOLLOWING,
-    HASTENED,
-    LEADING,
-    LIKELY,
-    MENDED,
-    OUTRANKED,
-    STANDING,
-    WAITED,
-    WON,
+    CANDIDATE,
+    ELECTION_TIMEOUT,
+    ELECTION_WON,
+    FOLLOWER,
+    LEADER,
+    LEADERSHIP_TRANSFERRED,
+    MAJORITY_LOST,
+    PRE_CANDIDATE,
+    PRE_VOTE_WON,
+    STEP_DOWN,
+    STORE_FAILED,
+    STORE_RECOVERED,
+    WRITE_FAILED,
 )
-from .weights import weight
 
-ASK_ALL = 20_000  # 2 s after its start a keeper waits for all others to say what they know of it, then most
+AWAIT_ALL_REPLIES = 20_000  # 2 s after a start all others must reply to Hello; after that a majority suffices
 
 
-class Keeper(Log, Disk, Recollection, Elections, Leading, Following, Agreed, Members):
-    def __init__(self, terms, stored, now, seed):
-        self.terms, self.name, self.random = terms, terms.name, Random(seed)
-        self.now, self.out, self.token = now, [], 0
-        self.life = terms.life
+class Keeper(Log, Durability, Recovery, Elections, Leading, Following, Applying, MemberRequests):
+    """A server of the replicated log. take() handles an event and returns the effects, in order."""
+
+    def __init__(self, settings, stored, now, seed):
+        """settings, stored: of protocol; seed: of the random election timeouts."""
+        self.settings, self.name, self.random = settings, settings.name, Random(seed)
+        self.now, self.effects, self.write_id = now, [], 0
+        self.generation = settings.generation
         self._load(stored)
 
     def _load(self, stored):
-        """What the disk holds is all that is believed."""
-        self.state, self.leader = FOLLOWING, None
-        self.term, self.voted, self.written, self.abstain = (
+        """Initialises the state from disk alone."""
+        self.state, self.leader = FOLLOWER, None
+        self.term, self.voted_for, self.write_count, self.no_vote_through = (
             stored.term,
-            stored.voted,
-            stored.written,
-            stored.abstain,
+            stored.voted_for,
+            stored.write_count,
+            stored.no_vote_through,
         )
-        self.marks, self.doubt = dict(stored.marks), stored.doubt
-        self.snapshot = stored.snapshot or (0, 0, self.terms.keepers, (), None)
+        self.write_counts, self.integrity_error = dict(stored.write_counts), stored.integrity_error
+        self.snapshot = stored.snapshot or (0, 0, self.settings.keepers, (), None)
         self.base, self.base_term, self.entries = stored.base, stored.base_term, list(stored.entries)
         self.commit = self.applied = self.snapshot[0]
         self.duties = Duties(self.snapshot[4])
-        self.durable = self.last()
-        # Entries that this keeper's copies have not taken in yet; the bytes of records in the log.
-        self.unfiled, self.weight = deque(), sum(map(weight, self.entries))
-        self._find_keepers()
-        self.inflight, self.inflight_held, self.inflight_since, self.batch_last = None, [], 0, 0
-        self.dirty, self.held = self.doubt is not None, []  # a doubt must outlive what it was about
-        self.unsaved, self.unsaved_snapshot = self.last() + 1, False
-        self.acked_at, self.heard_at = self.now, -LONG_AGO  # it may have answered just before it ended
-        self.known, self.granted, self.sure_at = {self.name}, {}, self.now + ASK_ALL
-        self.peers, self.round, self.leases, self.asks = {}, 0, None, {}
-        self.own, self.told = 0, []  # its own disk, as far as it counts; (round that tells of it, durable)
-        self.beat_at = self.now
-        self._wait()
+        self.durable_index = self.last_index()
+        # unstored_entries: indices of entries with records that this keeper's copies have not stored yet;
+        # record_bytes: size of the records in the log.
+        self.unstored_entries, self.record_bytes = deque(), sum(map(record_bytes, self.entries))
+        self._read_configuration()
+        self.inflight_write, self.inflight_sends, self.inflight_since, self.batch_last = None, [], 0, 0
+        # An integrity error is written again, so that it outlives the data that it is about.
+        self.dirty, self.next_sends = self.integrity_error is not None, []
+        self.first_unsaved, self.snapshot_unsaved = self.last_index() + 1, False
+        self.acked_at, self.leader_heard_at = (
+            self.now,
+            -LONG_AGO,
+        )  # an ack may have been sent just before the process ended
+        self.hello_replies, self.votes, self.majority_suffices_at = (
+            {self.name},
+            {},
+            self.now + AWAIT_ALL_REPLIES,
+        )
+        self.peers, self.round, self.leases, self.pending_commands = {}, 0, None, {}
+        # own_match: index up to which this leader's own log counts for commit; flush_reports: (round, durable
+        # index), where the index counts once a majority has confirmed that round.
+        self.own_match, self.flush_reports = 0, []
+        self.heartbeat_at = self.now
+        self._reset_election_timer()
 
     def take(self, now, event):
-        self.now, self.out = now, []
+        """Handles an event of protocol. Returns the list of effects."""
+        self.now, self.effects = now, []
         getattr(self, EVENTS[type(event)].__name__)(event)
         self._flush()
-        return self.out
+        return self.effects
 
     def alarm(self):
-        """When Tick is next of use."""
-        return self.beat_at if self.state == LEADING else self.wait_at
+        """Returns when the next Tick is due: a heartbeat or an election timeout."""
+        return self.heartbeat_at if self.state == LEADER else self.election_at
 
-    def _step(self, word):
-        row = TABLE.get((self.state, word))
+    def _transition(self, state_event):
+        row = TRANSITIONS.get((self.state, state_event))
         if row is not None:
-            self.state, effect = row
-            getattr(self, effect.__name__)()
+            self.state, action = row
+            getattr(self, action.__name__)()
 
-    def _told(self, what, **values):
-        self.out.append(w.Told(what, tuple(values.items())))
+    def _log_event(self, event, **fields):
+        self.effects.append(protocol.LogEvent(event, tuple(fields.items())))
 
-    def _send(self, to, message):
-        self.out.append(w.Send(to, message))
+    def _send(self, receiver, message):
+        self.effects.append(protocol.Send(receiver, message))
 
-    def _heard(self, heard):
-        handler = MESSAGES.get(type(heard.message))
-        if handler is None or (self.state == BROKEN and handler in NEED_DISK):
+    def _received(self, event):
+        handler = MESSAGES.get(type(event.message))
+        if handler is None or (self.state == STORE_FAILED and handler in NEED_STORE):
             return
-        getattr(self, handler.__name__)(heard.sender, heard.message)
+        getattr(self, handler.__name__)(event.sender, event.message)
 
-    def _nothing(self):
+    def _no_action(self):
         pass
 
 
-# state, input -> next state, effect
-TABLE = {
-    (FOLLOWING, WAITED): (ASKING, Keeper._ask_pre),
-    (ASKING, WAITED): (ASKING, Keeper._ask_pre),
-    (STANDING, WAITED): (ASKING, Keeper._ask_pre),
-    (ASKING, LIKELY): (STANDING, Keeper._stand),
-    (STANDING, WON): (LEADING, Keeper._lead),
-    (FOLLOWING, HASTENED): (STANDING, Keeper._stand_hastened),
-    (FOLLOWING, OUTRANKED): (FOLLOWING, Keeper._nothing),
-    (ASKING, OUTRANKED): (FOLLOWING, Keeper._wait),
-    (STANDING, OUTRANKED): (FOLLOWING, Keeper._wait),
-    (LEADING, OUTRANKED): (FOLLOWING, Keeper._step_back),
-    (LEADING, ALONE): (FOLLOWING, Keeper._no_majority),
-    (FOLLOWING, BROKE): (BROKEN, Keeper._break),
-    (ASKING, BROKE): (BROKEN, Keeper._break),
-    (STANDING, BROKE): (BROKEN, Keeper._break),
-    (LEADING, BROKE): (BROKEN, Keeper._break),
-    (BROKEN, MENDED): (FOLLOWING, Keeper._mend),
+# (state, input) -> (next state, action)
+TRANSITIONS = {
+    (FOLLOWER, ELECTION_TIMEOUT): (PRE_CANDIDATE, Keeper._start_pre_vote),
+    (PRE_CANDIDATE, ELECTION_TIMEOUT): (PRE_CANDIDATE, Keeper._start_pre_vote),
+    (CANDIDATE, ELECTION_TIMEOUT): (PRE_CANDIDATE, Keeper._start_pre_vote),
+    (PRE_CANDIDATE, PRE_VOTE_WON): (CANDIDATE, Keeper._start_election),
+    (CANDIDATE, ELECTION_WON): (LEADER, Keeper._become_leader),
+    (FOLLOWER, LEADERSHIP_TRANSFERRED): (CANDIDATE, Keeper._start_transfer_election),
+    (FOLLOWER, STEP_DOWN): (FOLLOWER, Keeper._no_action),
+    (PRE_CANDIDATE, STEP_DOWN): (FOLLOWER, Keeper._reset_election_timer),
+    (CANDIDATE, STEP_DOWN): (FOLLOWER, Keeper._reset_election_timer),
+    (LEADER, STEP_DOWN): (FOLLOWER, Keeper._step_down),
+    (LEADER, MAJORITY_LOST): (FOLLOWER, Keeper._lose_majority),
+    (FOLLOWER, WRITE_FAILED): (STORE_FAILED, Keeper._store_failed),
+    (PRE_CANDIDATE, WRITE_FAILED): (STORE_FAILED, Keeper._store_failed),
+    (CANDIDATE, WRITE_FAILED): (STORE_FAILED, Keeper._store_failed),
+    (LEADER, WRITE_FAILED): (STORE_FAILED, Keeper._store_failed),
+    (STORE_FAILED, STORE_RECOVERED): (FOLLOWER, Keeper._store_recovered),
 }
 
 MESSAGES = {
-    w.Ballot: Keeper._ballot,
-    w.Vote: Keeper._vote,
-    w.Append: Keeper._on_append,
-    w.Appended: Keeper._appended,
-    w.Install: Keeper._on_install,
-    w.Hello: Keeper._hello,
-    w.Known: Keeper._known,
-    w.Hasten: Keeper._hasten,
-    w.Renew: Keeper._renew,
-    w.Ask: Keeper._ask,
-    w.Look: Keeper._look,
+    protocol.RequestVote: Keeper._request_vote,
+    protocol.Vote: Keeper._vote,
+    protocol.Append: Keeper._on_append,
+    protocol.Appended: Keeper._appended,
+    protocol.InstallSnapshot: Keeper._on_install_snapshot,
+    protocol.Hello: Keeper._hello,
+    protocol.HelloReply: Keeper._hello_reply,
+    protocol.TimeoutNow: Keeper._timeout_now,
+    protocol.Renew: Keeper._renew,
+    protocol.CommandRequest: Keeper._command,
+    protocol.StatusRequest: Keeper._status,
 }
-NEED_DISK = {
-    Keeper._ballot,
+NEED_STORE = {
+    Keeper._request_vote,
     Keeper._vote,
     Keeper._on_append,
-    Keeper._on_install,
+    Keeper._on_install_snapshot,
     Keeper._appended,
-    Keeper._hasten,
+    Keeper._timeout_now,
 }
 
 EVENTS = {
-    w.Heard: Keeper._heard,
-    w.Wrote: Keeper._wrote,
-    w.Tick: Keeper._tick,
-    w.Reopened: Keeper._reopened,
-    w.Begin: Keeper._begin,
-    w.Filed: Keeper._filed,
-    w.Recall: Keeper._recall,
+    protocol.Received: Keeper._received,
+    protocol.WriteFinished: Keeper._write_finished,
+    protocol.Tick: Keeper._tick,
+    protocol.StoreReopened: Keeper._store_reopened,
+    protocol.Started: Keeper._started,
+    protocol.RecordsStored: Keeper._records_stored,
+    protocol.CopiesReopened: Keeper._resync_copies,
 }
--- a/hookrouter/decisions/owners/keeper/elections.py
+++ b/hookrouter/decisions/owners/keeper/elections.py
@@ -1,149 +1,177 @@
-"""Pre-votes, votes, and a successor that is hastened."""
+"""Pre-votes, elections, stepping down, and leadership transfer."""
 
-from .. import words as w
+from .. import protocol
 from .states import (
-    ALONE,
-    ASKING,
-    HASTENED,
-    LEADING,
-    LIKELY,
-    OUTRANKED,
-    STANDING,
-    WAITED,
-    WON,
+    CANDIDATE,
+    ELECTION_TIMEOUT,
+    ELECTION_WON,
+    LEADER,
+    LEADERSHIP_TRANSFERRED,
+    MAJORITY_LOST,
+    PRE_CANDIDATE,
+    PRE_VOTE_WON,
+    STEP_DOWN,
 )
 
 
 class Elections:
-    def _wait(self):
-        self.wait_at = self.now + self.random.randint(self.terms.least_wait, self.terms.most_wait)
+    """The part of Keeper that elects leaders, with its timers."""
+
+    def _reset_election_timer(self):
+        self.election_at = self.now + self.random.randint(
+            self.settings.min_election_timeout, self.settings.max_election_timeout
+        )
 
     def _tick(self, event):
-        if self.state == LEADING:
-            fresh = [
+        if self.state == LEADER:
+            responsive = [
                 name
                 for name, peer in self.peers.items()
-                if self.now - peer.heard < self.terms.most_wait and not peer.aside
+                if self.now - peer.heard_at < self.settings.max_election_timeout and not peer.exclusion
             ]
-            if not self._majority([self.name, *fresh]):
-                self._step(ALONE)
-            elif self.inflight is not None and self.now - self.inflight_since > self.terms.slow_disk:
-                self._told(
+            if not self._majority([self.name, *responsive]):
+                self._transition(MAJORITY_LOST)
+            elif (
+                self.inflight_write is not None and self.now - self.inflight_since > self.settings.slow_flush
+            ):
+                self._log_event(
                     "disk is slow, another shall lead", flush_ms=(self.now - self.inflight_since) // 10
                 )
-                self._hasten_best()
-                self._step(ALONE)
-        if self.state == LEADING:
-            if self.now >= self.beat_at:
-                self._beat()
-            self._lead_on()
-        elif self.now >= self.wait_at:
-            if self.aside() == w.UNSURE:
-                self._greet()
-            self._wait()
-            slow = self.inflight is not None and self.now - self.inflight_since > self.terms.slow_disk
-            if self.name in self.voters and not self.aside() and not slow:
-                self._step(WAITED)
-        if self.state != LEADING:
-            self.beat_at = self.wait_at
+                self._transfer_leadership()
+                self._transition(MAJORITY_LOST)
+        if self.state == LEADER:
+            if self.now >= self.heartbeat_at:
+                self._send_heartbeats()
+            self._assign_duties()
+        elif self.now >= self.election_at:
+            if self.exclusion() == protocol.UNVERIFIED:
+                self._send_hellos()
+            self._reset_election_timer()
+            flush_is_slow = (
+                self.inflight_write is not None and self.now - self.inflight_since > self.settings.slow_flush
+            )
+            if self.name in self.voters and not self.exclusion() and not flush_is_slow:
+                self._transition(ELECTION_TIMEOUT)
+        if self.state != LEADER:
+            self.heartbeat_at = self.election_at
 
-    def _ask_pre(self):
-        self.granted, self.leader = {self.name: self.now - self.acked_at}, None
+    def _start_pre_vote(self):
+        self.votes, self.leader = {self.name: self.now - self.acked_at}, None
         for name in self.voters:
             if name != self.name:
-                self._send(name, w.Ballot(self.term + 1, self.term_at(self.last()), self.last(), pre=True))
-        if self._majority(self.granted):
-            self._step(LIKELY)
+                self._send(
+                    name,
+                    protocol.RequestVote(
+                        self.term + 1, self.term_at(self.last_index()), self.last_index(), pre_vote=True
+                    ),
+                )
+        if self._majority(self.votes):
+            self._transition(PRE_VOTE_WON)
 
-    def _stand(self, hastened=False):
-        self.term, self.voted, self.leader = self.term + 1, self.name, None
-        self.granted, self.dirty = {}, True
+    def _start_election(self, leadership_transfer=False):
+        self.term, self.voted_for, self.leader = self.term + 1, self.name, None
+        self.votes, self.dirty = {}, True
         for name in self.voters:
             if name != self.name:
-                self._durable(
+                self._send_when_durable(
                     name,
-                    w.Ballot(
+                    protocol.RequestVote(
                         self.term,
-                        self.term_at(self.last()),
-                        self.last(),
-                        hastened=hastened,
-                        written=self.written + 1,
+                        self.term_at(self.last_index()),
+                        self.last_index(),
+                        leadership_transfer=leadership_transfer,
+                        write_count=self.write_count + 1,
                     ),
                 )
-        self._durable(self.name, w.Vote(self.term, False, True, max(0, self.now - self.acked_at)))
+        self._send_when_durable(
+            self.name, protocol.Vote(self.term, False, True, max(0, self.now - self.acked_at))
+        )
 
-    def _stand_hastened(self):
-        self._stand(hastened=True)
+    def _start_transfer_election(self):
+        self._start_election(leadership_transfer=True)
 
-    def _ballot(self, sender, ballot):
-        self.marks[sender] = max(ballot.written, self.marks.get(sender, 0))
-        current = (ballot.last_term, ballot.last) >= (self.term_at(self.last()), self.last())
-        led = self.state == LEADING or self.now - self.heard_at < self.terms.least_wait
-        if self.aside() or (led and not ballot.hastened):
+    def _request_vote(self, sender, request):
+        self.write_counts[sender] = max(request.write_count, self.write_counts.get(sender, 0))
+        log_up_to_date = (request.last_term, request.last_index) >= (
+            self.term_at(self.last_index()),
+            self.last_index(),
+        )
+        leader_alive = (
+            self.state == LEADER or self.now - self.leader_heard_at < self.settings.min_election_timeout
+        )
+        if self.exclusion() or (leader_alive and not request.leadership_transfer):
             return
-        if ballot.pre:
-            may = ballot.term > self.term and ballot.term > self.abstain and current
-            # Refused, it is told this one's term: else two of unequal terms could go on asking for ever.
-            self._durable(sender, w.Vote(ballot.term if may else self.term, True, may))
+        if request.pre_vote:
+            grant = request.term > self.term and request.term > self.no_vote_through and log_up_to_date
+            # A rejection carries this keeper's term; else two candidates of unequal terms could ask for ever.
+            self._send_when_durable(sender, protocol.Vote(request.term if grant else self.term, True, grant))
             return
-        if ballot.term > self.term:
-            self._outranked(ballot.term)
-        may = (
-            ballot.term == self.term
-            and self.voted in (None, sender)
-            and ballot.term > self.abstain
-            and current
+        if request.term > self.term:
+            self._adopt_term(request.term)
+        grant = (
+            request.term == self.term
+            and self.voted_for in (None, sender)
+            and request.term > self.no_vote_through
+            and log_up_to_date
         )
-        if may and self.voted is None:
-            self.voted, self.dirty = sender, True
-        if may:
-            self._wait()
-        self._durable(
-            sender, w.Vote(self.term, False, may, max(0, self.now - self.acked_at), self.written + self.dirty)
+        if grant and self.voted_for is None:
+            self.voted_for, self.dirty = sender, True
+        if grant:
+            self._reset_election_timer()
+        self._send_when_durable(
+            sender,
+            protocol.Vote(
+                self.term, False, grant, max(0, self.now - self.acked_at), self.write_count + self.dirty
+            ),
         )
 
     def _vote(self, sender, vote):
-        self.marks[sender] = max(vote.written, self.marks.get(sender, 0))
-        if vote.pre and vote.granted:
-            if self.state == ASKING and vote.term == self.term + 1:
-                self.granted[sender] = 0
-                if self._majority(self.granted):
-                    self._step(LIKELY)
+        self.write_counts[sender] = max(vote.write_count, self.write_counts.get(sender, 0))
+        if vote.pre_vote and vote.granted:
+            if self.state == PRE_CANDIDATE and vote.term == self.term + 1:
+                self.votes[sender] = 0
+                if self._majority(self.votes):
+                    self._transition(PRE_VOTE_WON)
             return
         if vote.term > self.term:
-            self._outranked(vote.term)
-        elif self.state == STANDING and vote.term == self.term and vote.granted:
-            self.granted[sender] = vote.age
-            if self._majority(self.granted):
-                self._step(WON)
+            self._adopt_term(vote.term)
+        elif self.state == CANDIDATE and vote.term == self.term and vote.granted:
+            self.votes[sender] = vote.since_ack
+            if self._majority(self.votes):
+                self._transition(ELECTION_WON)
 
-    def _outranked(self, term):
-        self.term, self.voted, self.dirty, self.leader = term, None, True, None
-        self._step(OUTRANKED)
+    def _adopt_term(self, term):
+        self.term, self.voted_for, self.dirty, self.leader = term, None, True, None
+        self._transition(STEP_DOWN)
 
-    def _hasten(self, sender, hasten):
-        if hasten.term == self.term and self.name in self.voters and not self.aside():
-            self._step(HASTENED)
+    def _timeout_now(self, sender, request):
+        if request.term == self.term and self.name in self.voters and not self.exclusion():
+            self._transition(LEADERSHIP_TRANSFERRED)
 
-    def _step_back(self):
-        for sender, key in self.asks.values():
-            self._send(sender, w.Answer(key))
-        self.peers, self.leases, self.asks = {}, None, {}
-        self.acked_at = self.now  # it counted itself among those that confirmed
-        self._wait()
-        self.beat_at = self.wait_at
+    def _step_down(self):
+        for sender, key in self.pending_commands.values():
+            self._send(sender, protocol.Answer(key))
+        self.peers, self.leases, self.pending_commands = {}, None, {}
+        self.acked_at = self.now  # a leader's own confirmations count as acknowledgements
+        self._reset_election_timer()
+        self.heartbeat_at = self.election_at
 
-    def _no_majority(self):
-        self._told("leadership given up", term=self.term, why="no majority answers, or the disk is slow")
+    def _lose_majority(self):
+        self._log_event("leadership given up", term=self.term, why="no majority answers, or the disk is slow")
         self.leader = None
-        self._step_back()
+        self._step_down()
 
-    def _hasten_best(self):
-        """The one that holds most goes on, at once."""
-        fit = [
+    def _transfer_leadership(self):
+        """Asks the eligible voter with the longest log to start an election at once."""
+        candidates = [
             name
             for name in self.peers
-            if name in self.voters and not self.peers[name].aside and self.peers[name].match >= self.commit
+            if name in self.voters
+            and not self.peers[name].exclusion
+            and self.peers[name].match_index >= self.commit
         ]
-        if fit:
-            self._send(max(fit, key=lambda name: (self.peers[name].match, name)), w.Hasten(self.term))
+        if candidates:
+            self._send(
+                max(candidates, key=lambda name: (self.peers[name].match_index, name)),
+                protocol.TimeoutNow(self.term),
+            )
--- a/hookrouter/decisions/owners/keeper/following.py
+++ b/hookrouter/decisions/owners/keeper/following.py
@@ -1,70 +1,85 @@
-"""What a follower does with entries and snapshots of its leader."""
+"""The follower's handling of the leader's entries and snapshots."""
 
-from .. import words as w
+from .. import protocol
 from ..duties import Duties
-from .states import BROKEN, FOLLOWING, OUTRANKED
-from .weights import weight
+from .sizes import record_bytes
+from .states import FOLLOWER, STEP_DOWN, STORE_FAILED
 
 
 class Following:
-    def _leader_heard(self, sender, term):
+    """The part of Keeper that accepts a leader's messages."""
+
+    def _accept_leader(self, sender, term):
         if term < self.term:
-            self._durable(sender, w.Appended(self.term, False, 0, 0, self.aside(), self.written, self.life))
+            self._send_when_durable(
+                sender,
+                protocol.Appended(
+                    self.term, False, 0, 0, self.exclusion(), self.write_count, self.generation
+                ),
+            )
             return False
         if term > self.term:
-            self._outranked(term)
-        if self.state != FOLLOWING:
-            self._step(OUTRANKED)
-        self.leader, self.heard_at = sender, self.now
-        self._wait()
+            self._adopt_term(term)
+        if self.state != FOLLOWER:
+            self._transition(STEP_DOWN)
+        self.leader, self.leader_heard_at = sender, self.now
+        self._reset_election_timer()
         return True
 
-    def _acked(self, sender, matched, last, round_):
+    def _acknowledge(self, sender, matched, last_index, round_number):
         self.acked_at = self.now
-        self._durable(
+        self._send_when_durable(
             sender,
-            w.Appended(self.term, matched, last, round_, self.aside(), self.written + self.dirty, self.life),
+            protocol.Appended(
+                self.term,
+                matched,
+                last_index,
+                round_number,
+                self.exclusion(),
+                self.write_count + self.dirty,
+                self.generation,
+            ),
         )
 
     def _on_append(self, sender, append):
-        if self.state == BROKEN or not self._leader_heard(sender, append.term):
+        if self.state == STORE_FAILED or not self._accept_leader(sender, append.term):
             return
-        for name, mark in append.marks.items():
-            self.marks[name] = max(mark, self.marks.get(name, 0))
-        if append.life > self.life:  # this machine's wall clock went back
-            self.life = append.life + 1
-        if self.marks.get(self.name, 0) > self.written and self.doubt is None:
-            self._doubt("the store is older than what the leader knows of it")
-        before, entries = append.before, append.entries
-        if before < self.base:  # what is agreed and folded away is the same
-            entries = entries[self.base - before :] if before + len(entries) > self.base else []
-            before = self.base
-        elif self.term_at(before) != append.before_term:
-            self._acked(sender, False, min(self.last(), before - 1), append.round)
+        for name, count in append.write_counts.items():
+            self.write_counts[name] = max(count, self.write_counts.get(name, 0))
+        if append.generation > self.generation:  # this machine's wall clock was set back
+            self.generation = append.generation + 1
+        if self.write_counts.get(self.name, 0) > self.write_count and self.integrity_error is None:
+            self._set_integrity_error("the store is older than the leader knows it to be")
+        prev_index, entries = append.prev_index, append.entries
+        if prev_index < self.base:  # compacted entries are committed, so they match
+            entries = entries[self.base - prev_index :] if prev_index + len(entries) > self.base else []
+            prev_index = self.base
+        elif self.term_at(prev_index) != append.prev_term:
+            self._acknowledge(sender, False, min(self.last_index(), prev_index - 1), append.round)
             return
-        after = before
-        for n, entry in enumerate(entries):
-            if self.term_at(before + n + 1) != entry.term:
-                if before + n < self.commit:
-                    self._doubt("an agreed entry differs from the leader's")
+        last_match = prev_index
+        for offset, entry in enumerate(entries):
+            if self.term_at(prev_index + offset + 1) != entry.term:
+                if prev_index + offset < self.commit:
+                    self._set_integrity_error("a committed entry differs from the leader's")
                     return
-                self._append(entries[n:], before + n)
-                after = before + len(entries)
+                self._append(entries[offset:], prev_index + offset)
+                last_match = prev_index + len(entries)
                 break
-            after = before + n + 1
-        if min(append.commit, after) > self.commit:
-            self.commit = min(append.commit, after)
+            last_match = prev_index + offset + 1
+        if min(append.commit, last_match) > self.commit:
+            self.commit = min(append.commit, last_match)
             self._apply()
         if (
-            append.life == self.life
+            append.generation == self.generation
             and append.commit == self.commit
             and self.term_at(self.commit) == self.term
         ):
-            self._taken_in()
-        self._acked(sender, True, after, append.round)
+            self._readmit()
+        self._acknowledge(sender, True, last_match, append.round)
 
-    def _on_install(self, sender, install):
-        if self.state == BROKEN or not self._leader_heard(sender, install.term):
+    def _on_install_snapshot(self, sender, install):
+        if self.state == STORE_FAILED or not self._accept_leader(sender, install.term):
             return
         if install.index > self.commit:
             self.snapshot = (
@@ -74,17 +89,19 @@
                 tuple(install.learners),
                 install.state or None,
             )
-            if self.term_at(install.index) != install.index_term or install.index > self.last():
+            if self.term_at(install.index) != install.index_term or install.index > self.last_index():
                 self.entries = []
             else:
                 del self.entries[: install.index - self.base]
             self.base, self.base_term = install.index, install.index_term
             self.commit = self.applied = install.index
-            self.unsaved, self.unsaved_snapshot, self.dirty = self.base + 1, True, True
-            self.durable = self.base
+            self.first_unsaved, self.snapshot_unsaved, self.dirty = self.base + 1, True, True
+            self.durable_index = self.base
             self.duties = Duties(self.snapshot[4])
-            self.weight = sum(map(weight, self.entries))
-            self._recall()
-            self._find_keepers()
-            self._told("snapshot taken in", index=install.index)
-        self._acked(sender, True, max(install.index, min(self.commit, self.last())), install.round)
+            self.record_bytes = sum(map(record_bytes, self.entries))
+            self._resync_copies()
+            self._read_configuration()
+            self._log_event("snapshot taken in", index=install.index)
+        self._acknowledge(
+            sender, True, max(install.index, min(self.commit, self.last_index())), install.round
+        )
--- a/hookrouter/decisions/owners/keeper/states.py
+++ b/hookrouter/decisions/owners/keeper/states.py
@@ -1,7 +1,22 @@
-"""States of a keeper and what moves it from one to the next."""
+"""States of a keeper, and the inputs of its transition table."""
 
-FOLLOWING, ASKING, STANDING, LEADING, BROKEN = "following", "asking", "standing", "leading", "broken"
-WAITED, LIKELY, WON, OUTRANKED, ALONE, BROKE, MENDED, HASTENED = (
+FOLLOWER, PRE_CANDIDATE, CANDIDATE, LEADER, STORE_FAILED = (
+    "following",
+    "asking",
+    "standing",
+    "leading",
+    "broken",
+)
+(
+    ELECTION_TIMEOUT,
+    PRE_VOTE_WON,
+    ELECTION_WON,
+    STEP_DOWN,
+    MAJORITY_LOST,
+    WRITE_FAILED,
+    STORE_RECOVERED,
+    LEADERSHIP_TRANSFERRED,
+) = (
     "waited",
     "likely",
     "won",
--- a/hookrouter/decisions/owners/leases.py
+++ b/hookrouter/decisions/owners/leases.py
@@ -1,135 +1,148 @@
-"""What a leader knows of members' leases, and where it has duties go. It lives as long as the leader leads.
+"""The leader's table of members' leases, and the placement of duties; discarded when the leader steps down.
 
-A renewal counts once a majority has confirmed, after it came, that this leader still leads: no later leader
-can have been elected before then, and a later leader waits from its election on (Gray and Cheriton, 1989;
-Ongaro, 2014, 6.4.1). So leases cost the disk nothing.
+A renewal takes effect once a majority has confirmed, in a heartbeat round begun after the renewal arrived,
+that this leader still leads. No later leader can have been elected before that, and a new leader waits from
+its election on until earlier leases have expired (Gray and Cheriton, 1989; Ongaro, 2014, 6.4.1). So renewals
+need no disk write.
 """
 
 from hashlib import blake2b
 
-RELEASE_LATEST = 3  # leases: a duty whose owner does not give it up by then stays where it is
-MOST_HELD = 4_000  # duties of one member: what one message tells
+MAX_RELEASE_LEASES = 3  # lease durations after which a move is dropped if the owner has not released the duty
+MAX_DUTIES_PER_MEMBER = 4_000  # as many as one message holds
 
 
 class Session:
-    __slots__ = ("seq", "until", "pending", "leaving", "to", "bears")
+    """A member process's lease: its last confirmed renewal, and those that wait for confirmation."""
+
+    __slots__ = ("seq", "until", "pending", "leaving", "reply_to", "duty_kinds")
 
     def __init__(self):
-        self.seq, self.until, self.pending, self.leaving, self.to = 0, 0, [], False, None
-        self.bears = None
+        self.seq, self.until, self.pending, self.leaving, self.reply_to = 0, 0, [], False, None
+        self.duty_kinds = None
+
+    def supports(self, duty):
+        """Returns whether the member can work on that duty."""
+        return self.duty_kinds is None or duty.partition("/")[0] in self.duty_kinds
 
-    def fit(self, duty):
-        return self.bears is None or duty.partition("/")[0] in self.bears
 
+class LeaseTable:
+    """Sessions of members by "name#generation", and the grants, moves and releases in progress."""
 
-class Leases:
-    def __init__(self, now, floor, terms):
-        """floor: until then every owner of before may still hold what it held."""
-        self.floor, self.terms = floor, terms
-        self.span = int(terms.lease * (1 + terms.drift)) + 1
-        self.sessions = {}  # name#life -> Session
+    def __init__(self, now, earlier_leases_until, settings):
+        """earlier_leases_until: until then owners may hold leases that an earlier leader confirmed."""
+        self.earlier_leases_until, self.settings = earlier_leases_until, settings
+        self.lease_span = int(settings.lease * (1 + settings.clock_drift)) + 1
+        self.sessions = {}  # name#generation -> Session
         self.released, self.moving, self.granting = set(), {}, {}
-        self.spread_at = now + terms.spread_every
+        self.rebalance_at = now + settings.rebalance_interval
 
-    def renew(self, now, who, to, renew, need):
-        """to: the name to answer; need: the round that confirms it."""
-        session = self.sessions.setdefault(who, Session())
-        session.to, session.leaving, session.bears = to, renew.leaving, renew.bears
+    def renew(self, now, member_id, reply_to, renew, required_round):
+        """Records a renewal. reply_to: name to answer; required_round: heartbeat round that confirms it."""
+        session = self.sessions.setdefault(member_id, Session())
+        session.reply_to, session.leaving, session.duty_kinds = reply_to, renew.leaving, renew.duty_kinds
         if renew.seq > max([session.seq, *(row[0] for row in session.pending)]):
-            session.pending.append((renew.seq, now + self.span, need))
-        self.released.update((duty, number) for duty, number in renew.released)
+            session.pending.append((renew.seq, now + self.lease_span, required_round))
+        self.released.update((duty, fencing_token) for duty, fencing_token in renew.released)
 
-    def confirmed(self, round_):
-        """Those whose renewal counts now."""
+    def confirmed(self, confirmed_round):
+        """Applies the renewals that a confirmed round covers. Returns the ids of their members."""
         found = []
-        for who, session in self.sessions.items():
-            done = [row for row in session.pending if row[2] <= round_]
+        for member_id, session in self.sessions.items():
+            done = [row for row in session.pending if row[2] <= confirmed_round]
             if done:
-                session.pending = [row for row in session.pending if row[2] > round_]
+                session.pending = [row for row in session.pending if row[2] > confirmed_round]
                 session.seq = max(session.seq, done[-1][0])
                 session.until = max(session.until, done[-1][1])
-                found.append(who)
+                found.append(member_id)
         return found
 
-    def forget(self, now, applied):
-        """What is gone for long takes no room."""
+    def forget_expired(self, now, applied):
+        """Removes finished grants, and sessions that expired at least one lease ago."""
         self.granting = {name: index for name, index in self.granting.items() if index > applied}
-        for who in [
-            who
-            for who, row in self.sessions.items()
-            if not row.pending and now >= max(row.until, self.floor) + self.span
+        for member_id in [
+            member_id
+            for member_id, row in self.sessions.items()
+            if not row.pending and now >= max(row.until, self.earlier_leases_until) + self.lease_span
         ]:
-            del self.sessions[who]
+            del self.sessions[member_id]
 
-    def live(self, now):
-        return [who for who, row in self.sessions.items() if now < row.until and not row.leaving]
+    def live_members(self, now):
+        """Returns the ids of members with an unexpired lease that are not leaving."""
+        return [member_id for member_id, row in self.sessions.items() if now < row.until and not row.leaving]
 
-    def held_until(self, who):
-        """When at the latest the last lease of that owner is over by its own clock, in this clock's time."""
-        session = self.sessions.get(who)
-        return max(self.floor, session.until if session is not None else 0)
+    def held_until(self, member_id):
+        """Returns the time of this clock by which that owner's leases have expired by its own clock."""
+        session = self.sessions.get(member_id)
+        return max(self.earlier_leases_until, session.until if session is not None else 0)
 
     def place(self, now, duties, applied):
-        """[(duty, member, the number that the grant follows)] for what nobody holds, or its owner has given
-        up.
-        applied: grants that were proposed up to that index have come to something.
+        """Chooses owners for duties that have none, whose lease has expired or whose owner released them.
+
+        applied: grants proposed up to that index are decided. Returns [(duty, member, previous token)].
         """
-        live = self.live(now)
+        live = self.live_members(now)
         if not live:
             return []
-        counts = {who: len(duties.owned.get(who, ())) for who in sorted(live)}
-        held = {who: now < self.held_until(who) for who in duties.owned}
+        counts = {member_id: len(duties.by_owner.get(member_id, ())) for member_id in sorted(live)}
+        held = {member_id: now < self.held_until(member_id) for member_id in duties.by_owner}
         free = [
             (name, duty)
-            for name, duty in duties.rows.items()
+            for name, duty in duties.by_name.items()
             if self.granting.get(name, 0) <= applied
-            and (duty.owner is None or not held[duty.owner] or (name, duty.number) in self.released)
+            and (duty.owner is None or not held[duty.owner] or (name, duty.fencing_token) in self.released)
         ]
         grants = []
         for name, duty in free:
             wanted = self.moving.pop(name, (None, 0))[0]
-            fit = [who for who in counts if self.sessions[who].fit(name)]
-            least = min((counts[who] for who in fit), default=MOST_HELD)
-            if least >= MOST_HELD:
+            eligible = [member_id for member_id in counts if self.sessions[member_id].supports(name)]
+            fewest = min((counts[member_id] for member_id in eligible), default=MAX_DUTIES_PER_MEMBER)
+            if fewest >= MAX_DUTIES_PER_MEMBER:
                 continue
             member = (
                 wanted
-                if wanted in fit
+                if wanted in eligible
                 else min(
-                    (who for who in fit if counts[who] == least),
-                    key=lambda who, name=name: blake2b(f"{name}|{who}".encode(), digest_size=8).digest(),
+                    (member_id for member_id in eligible if counts[member_id] == fewest),
+                    key=lambda member_id, name=name: blake2b(
+                        f"{name}|{member_id}".encode(), digest_size=8
+                    ).digest(),
                 )
             )
             counts[member] += 1
-            grants.append((name, member, duty.number))
-        self._spread(now, duties, counts)
+            grants.append((name, member, duty.fencing_token))
+        self._rebalance(now, duties, counts)
         return grants
 
-    def granted(self, name, old):
-        """A grant is in force: what was said of the number before is void."""
-        self.released.discard((name, old))
+    def granted(self, name, previous_token):
+        """Notes that a grant is applied; a release or move of the previous token is void."""
+        self.released.discard((name, previous_token))
         self.moving.pop(name, None)
 
-    def _spread(self, now, duties, counts):
-        """Duties of the most laden to the least, where three or more lie between: a move stops work for a
-        moment, so it is not made for one duty more or less.
+    def _rebalance(self, now, duties, counts):
+        """Moves duties from the most to the least loaded member if their counts differ by three or more.
+
+        A move interrupts the duty's work for a moment, so a smaller difference does not justify one.
         """
-        self.moving = {name: row for name, row in self.moving.items() if now < row[1] and name in duties.rows}
-        if now < self.spread_at or self.moving or len(counts) < 2:
+        self.moving = {
+            name: row for name, row in self.moving.items() if now < row[1] and name in duties.by_name
+        }
+        if now < self.rebalance_at or self.moving or len(counts) < 2:
             return
-        self.spread_at = now + self.terms.spread_every
-        most, least = (pick(sorted(counts), key=counts.get) for pick in (max, min))
-        for _ in range((counts[most] - counts[least] - 1) // 2):
+        self.rebalance_at = now + self.settings.rebalance_interval
+        most_loaded, least_loaded = (pick(sorted(counts), key=counts.get) for pick in (max, min))
+        for _ in range((counts[most_loaded] - counts[least_loaded] - 1) // 2):
             name = next(
                 (
                     name
-                    for name in duties.owned.get(most, ())
-                    if name not in self.moving and self.sessions[least].fit(name)
+                    for name in duties.by_owner.get(most_loaded, ())
+                    if name not in self.moving and self.sessions[least_loaded].supports(name)
                 ),
                 None,
             )
             if name is not None:
-                self.move(now, name, least)
+                self.move(now, name, least_loaded)
 
     def move(self, now, name, member):
-        self.moving[name] = member, now + RELEASE_LATEST * self.span
+        """Asks the owner of a duty to release it to that member."""
+        self.moving[name] = member, now + MAX_RELEASE_LEASES * self.lease_span
--- a/hookrouter/decisions/replicas/__init__.py
+++ b/hookrouter/decisions/replicas/__init__.py
@@ -1,1 +1,1 @@
-"""State that matters, kept by several members: what a copy takes in, fetches, and does where it differs."""
+"""Replicated copies of records: what a copy stores, fetches from other keepers, and does when it diverges."""
--- a/hookrouter/fleet/member/asker.py
+++ b/hookrouter/fleet/member/asker.py
@@ -4,7 +4,7 @@
 
 from twisted.internet.defer import Deferred
 
-from ...decisions.owners import words as w
+from ...decisions.owners import protocol
 from ...errors.wire import DutyLost
 
 ASK_AGAIN = 0.3  # seconds until a command without an answer is asked again
@@ -26,7 +26,7 @@
         if self.stopped or len(self.waiting) >= MOST_WAITING:
             done.errback(DutyLost("the duty is another's now"))
             return done
-        self.waiting.append((w.Ask(f"{self.who}/{self.count}", command, fields), done))
+        self.waiting.append((protocol.CommandRequest(f"{self.who}/{self.count}", command, fields), done))
         if len(self.waiting) == 1:
             self._again(self.waiting[0])
         return done
--- a/hookrouter/fleet/member/purges.py
+++ b/hookrouter/fleet/member/purges.py
@@ -10,7 +10,7 @@
 
 from twisted.internet.defer import fail, gatherResults, succeed
 
-from ...decisions.owners.duties import DECLARE, KEEP, NAMES, OPEN, SWEEP
+from ...decisions.owners.duties import APPEND, DECLARE, FOLLOWERS, OPEN, SWEEP
 from ...desk import web
 from ...desk.desk import Desk
 from ...desk.paced import paced
@@ -39,11 +39,11 @@
 
     def append(self, batch):
         first, bodies = batch[0][0].n, [pack(purge, key) for purge, key in batch]
-        return self.duty.command(KEEP, [first, bodies]).addCallback(self._told, "kept")
+        return self.duty.command(APPEND, [first, bodies]).addCallback(self._told, "kept")
 
     def update_followers(self, joined, left):
         parts = [
-            self.duty.command(NAMES, [joined[at : at + MOST_NAMES], left[at : at + MOST_NAMES]])
+            self.duty.command(FOLLOWERS, [joined[at : at + MOST_NAMES], left[at : at + MOST_NAMES]])
             for at in range(0, max(len(joined), len(left)), MOST_NAMES)
         ]
         return gatherResults([part.addCallback(self._told, "noted") for part in parts], consumeErrors=True)
@@ -87,7 +87,7 @@
         """
         if warrant is not self.warrant:
             return
-        if self.filed(warrant.number):
+        if self.filed(warrant.fencing_token):
             # Above those of a fleet that began anew without its stores, as a desk of its own does.
             self.opened(int(time.time() * 1_000)).addCallbacks(
                 self._began, self._not_begun, callbackArgs=(warrant,), errbackArgs=(warrant,)
@@ -117,7 +117,10 @@
         self.tree = web.tree(self.desk, self.purges["secret"], True)
         self.desk.start()
         self.log(
-            "owns the desk", number=warrant.number, epoch=self.desk.tail.epoch, newest=self.desk.tail.newest.n
+            "owns the desk",
+            number=warrant.fencing_token,
+            epoch=self.desk.tail.epoch,
+            newest=self.desk.tail.newest.n,
         )
 
     def _not_begun(self, failure, warrant):
@@ -134,14 +137,14 @@
 
     def live(self):
         """Looked at before anything is answered: this process may have stood still."""
-        return self.desk is not None and self.warrant.act(self.clock(), None) is not None
+        return self.desk is not None and self.warrant.authorize(self.clock(), None) is not None
 
     def command(self, command, fields):
         """Under the number of the grant, or not at all."""
-        act = None if self.warrant is None else self.warrant.act(self.clock(), fields)
+        act = None if self.warrant is None else self.warrant.authorize(self.clock(), fields)
         if act is None:
             return fail(DutyLost("the warrant is over"))
-        return self.asker.ask(command, [act.duty, act.number, *act.what])
+        return self.asker.ask(command, [act.duty, act.fencing_token, *act.action])
 
 
 class Sweeping:
@@ -171,10 +174,10 @@
             )
 
     def _found(self, upto, warrant):
-        act = warrant.act(self.clock(), upto) if upto and warrant is self.warrant else None
+        act = warrant.authorize(self.clock(), upto) if upto and warrant is self.warrant else None
         if act is not None:
             step = self.step(SWEEPING) + 1
-            self.asker.ask(SWEEP, [SWEEPING, act.number, step, DUTY, act.what]).addCallbacks(
+            self.asker.ask(SWEEP, [SWEEPING, act.fencing_token, step, DUTY, act.action]).addCallbacks(
                 self._swept, lambda _: None, callbackArgs=(upto,)
             )
 
--- a/hookrouter/fleet/member/records.py
+++ b/hookrouter/fleet/member/records.py
@@ -1,4 +1,5 @@
-"""A keeper's copy of the order of purges on disk: what replicas/copy.py decides, done in a thread of its own.
+"""A keeper's copy of the order of purges on disk: what replicas/record_copy.py decides,
+done in a thread of its own.
 
 Apart from the keeper's own store, so that a vote never waits behind what is filed here.
 """
@@ -9,9 +10,9 @@
 from twisted.internet.threads import deferToThreadPool
 from twisted.python.threadpool import ThreadPool
 
-from ...decisions.owners import words as w
+from ...decisions.owners import protocol
 from ...decisions.owners.duties import INITIAL_HASH
-from ...decisions.replicas import copy as c
+from ...decisions.replicas import record_copy
 from ...desk.local_store import SEALED_AT_ONCE, replayed
 from ...desk.sealing import SealingLoop
 from ...errors.stores import CopyDiffers, DamagedStore
@@ -36,7 +37,7 @@
         self.pool.start()
         self.store = None
         try:
-            self.copy = c.Copy(DUTY, others, self._open())
+            self.copy = record_copy.RecordCopy(DUTY, others, self._open())
         except BaseException:
             self.pool.stop()
             raise
@@ -56,7 +57,7 @@
         try:
             self.store = PurgeLog(self.path)
             self.store.load(self.terms.hold, self.terms.most_sealed)
-            return c.Store(*self.store.position())
+            return record_copy.StorePosition(*self.store.position())
         except DamagedStore as wrong:
             self.log("copy is damaged, put away and filled anew", str(wrong), level="error")
             return self._put_away()
@@ -72,7 +73,7 @@
             if os.path.exists(self.path + ending):
                 os.replace(self.path + ending, f"{self.path}.away{self.away}{ending}")
         self.store = PurgeLog(self.path)
-        return c.Store(*self.store.position())
+        return record_copy.StorePosition(*self.store.position())
 
     def _threaded(self, call, *args):
         return deferToThreadPool(self.reactor, self.pool, call, *args)
@@ -80,20 +81,20 @@
     # ---- told
 
     def agreed(self, index, records):
-        self._carry(self.copy.agreed(self.clock(), index, records))
-        if not self.copy.queue and self.copy.writing is None and self.copy.state == c.WHOLE:
+        self._carry(self.copy.on_committed(self.clock(), index, records))
+        if not self.copy.queue and self.copy.writing is None and self.copy.state == record_copy.COMPLETE:
             self.filed(index)  # nothing of it was this copy's
 
     def caught(self, index, orders):
         newest, seal = {duty: rest for duty, *rest in orders}.get(DUTY, (0, INITIAL_HASH))
-        self._carry(self.copy.caught(self.clock(), index, newest, seal))
+        self._carry(self.copy.on_snapshot(self.clock(), index, newest, seal))
 
     def heard(self, sender, message):
         """A Fetch or Fetched."""
         if message.duty != DUTY or sender not in self.others:
             return
-        if isinstance(message, w.Fetched):
-            self._carry(self.copy.fetched(self.clock(), sender, message))
+        if isinstance(message, protocol.Fetched):
+            self._carry(self.copy.on_fetched(self.clock(), sender, message))
         elif not self.serving:  # one at a time: who serves is not slowed by who catches up
             self.serving += 1
             self._threaded(self._part, message).addCallbacks(
@@ -101,34 +102,34 @@
             ).addBoth(self._served)
 
     def _part(self, asked):
-        start, seal, bodies, agrees = self.store.part(asked.after, asked.seal, PART)
+        start, seal, bodies, agrees = self.store.part(asked.after, asked.chain_hash, PART)
         index, names = self.store.position()[3], None
         if asked.names:
             bodies, names = [], self.store.names()[:MOST_NAMES]
-        return w.Fetched(DUTY, asked.turn, start, seal, bodies, agrees, index, names)
+        return protocol.Fetched(DUTY, asked.request_id, start, seal, bodies, agrees, index, names)
 
     def _served(self, _):
         self.serving -= 1
 
     def _carry(self, effects):
         for effect in effects:
-            if isinstance(effect, c.Write):
+            if isinstance(effect, record_copy.Write):
                 self._threaded(self.store.file_steps, effect.steps, effect.index).addCallbacks(
                     self._written,
                     self._not_written,
-                    callbackArgs=(effect.token,),
-                    errbackArgs=(effect.token,),
+                    callbackArgs=(effect.write_id,),
+                    errbackArgs=(effect.write_id,),
                 )
-            elif isinstance(effect, c.Ask):
-                self.send(effect.to, effect.message)
-            elif isinstance(effect, c.Filed):
+            elif isinstance(effect, record_copy.SendFetch):
+                self.send(effect.receiver, effect.message)
+            elif isinstance(effect, record_copy.RecordsStored):
                 self.filed(effect.index)
-            elif effect is c.PUT_AWAY:
+            elif effect is record_copy.REPLACE_STORE:
                 self.reactor.callLater(REOPEN_EVERY, self._again, self._put_away)
-            elif effect is c.REOPEN:
+            elif effect is record_copy.REOPEN_STORE:
                 self.reactor.callLater(REOPEN_EVERY, self._again, self._open)
             else:
-                self.log(effect.what, level="warn", **dict(effect.values))
+                self.log(effect.event, level="warn", **dict(effect.fields))
         self._set()
 
     def _set(self):
@@ -143,7 +144,7 @@
 
     def _written(self, _, token):
         if not self.stopped:
-            self._carry(self.copy.written(self.clock(), token, True))
+            self._carry(self.copy.on_written(self.clock(), token, True))
 
     def _not_written(self, failure, token):
         if self.stopped:
@@ -154,7 +155,7 @@
             failure.getErrorMessage(),
             level="error",
         )
-        self._carry(self.copy.written(self.clock(), token, False, differs))
+        self._carry(self.copy.on_written(self.clock(), token, False, differs))
 
     def _again(self, how):
         if not self.stopped:
@@ -162,7 +163,7 @@
 
     def _opened(self, store):
         if not self.stopped:
-            self._carry(self.copy.opened(self.clock(), store))
+            self._carry(self.copy.on_opened(self.clock(), store))
             self.recall()
 
     def _not_opened(self, failure, how):
@@ -174,14 +175,14 @@
 
     def shown(self):
         copy = self.copy
-        return [DUTY, copy.state, copy.newest, copy.floor, copy.seal.hex()]
+        return [DUTY, copy.state, copy.newest, copy.floor, copy.chain_hash.hex()]
 
     def whole(self):
-        return self.copy.whole()
+        return self.copy.is_complete()
 
     def sound(self):
         """Whether it only has to take in what comes."""
-        return self.copy.state == c.WHOLE
+        return self.copy.state == record_copy.COMPLETE
 
     def read(self, epoch):
         """A Deferred of Read, as LocalStore gives it."""
--- a/hookrouter/fleet/member/service.py
+++ b/hookrouter/fleet/member/service.py
@@ -6,10 +6,9 @@
 from twisted.internet.threads import deferToThreadPool
 from twisted.python.threadpool import ThreadPool
 
-from ...decisions.owners import Holder, Keeper, Terms
-from ...decisions.owners import words as w
+from ...decisions.owners import Holder, Keeper, Settings, protocol
 from ...decisions.owners.duties import DONE
-from ...decisions.owners.keeper import BROKEN
+from ...decisions.owners.keeper import STORE_FAILED
 from ...feed.purges import steady
 from ...stores import UnusableStore
 from ...stores.keeper_log import KeeperLog
@@ -34,7 +33,7 @@
         self.reactor, self.log, self.fleet = reactor, log, fleet
         self.name, self.stopped, self.call, self.store = fleet["name"], False, None, None
         keepers = fleet["keepers"]
-        self.terms = Terms(self.name, int(time.time() * 1_000), tuple(keepers), lease=fleet["lease"])
+        self.terms = Settings(self.name, int(time.time() * 1_000), tuple(keepers), lease=fleet["lease"])
         self.peers = Peers(reactor, self.name, dict(keepers), fleet["secret"].value, self.heard, log)
         self.keeper, self.pool = None, None
         if self.name in keepers:
@@ -45,10 +44,10 @@
             except BaseException:
                 self.pool.stop()
                 raise
-            self.keeper = Keeper(self.terms, stored, steady(), self.terms.life)
-        self.holder, self.to, self.turn = Holder(self.name, self.terms.life, self.terms, []), None, 0
+            self.keeper = Keeper(self.terms, stored, steady(), self.terms.generation)
+        self.holder, self.to, self.turn = Holder(self.name, self.terms.generation, self.terms, []), None, 0
         self.askers = {
-            stream: Asker(reactor, f"{self.name}#{self.terms.life}.{stream}", self._tell)
+            stream: Asker(reactor, f"{self.name}#{self.terms.generation}.{stream}", self._tell)
             for stream in ("steps", "purges", "sweep")
         }
         self.steps = Steps(reactor, fleet["drill"], self._done, log) if fleet["drill"] else None
@@ -56,7 +55,7 @@
         self.warming = None  # who works the duties warm/..., where this member does
         self.sharing = self.parcelled = None  # parcelled: called for what further parts say: name, Parcel
         role = ("keeper" if self.keeper else "member") + (SHARES if routes and "sharing" in sections else "")
-        self.roster = Roster(reactor, fleet, self.terms.life, role, steady, log)
+        self.roster = Roster(reactor, fleet, self.terms.generation, role, steady, log)
         self.records = self.port = None
         self.work = {}  # duty -> who does it
         if self.keeper is not None and "desk" in sections:
@@ -127,7 +126,7 @@
             host, port = self.desk_listen
             self.port = self.reactor.listenTCP(port, serving(self.door), backlog=512, interface=host)
         if self.keeper is not None:
-            self._carry(self.keeper.take(steady(), w.Begin()))
+            self._carry(self.keeper.take(steady(), protocol.Started()))
         self.roster.start()
         self._tick()
         if self.sharing is not None:
@@ -140,7 +139,7 @@
     def _tick(self):
         now = steady()
         if self.keeper is not None and now >= self.keeper.alarm():
-            self._carry(self.keeper.take(now, w.Tick()))
+            self._carry(self.keeper.take(now, protocol.Tick()))
         self._bear()
         renew, lost = self.holder.tick(now)
         self._lost(lost)
@@ -150,18 +149,18 @@
 
     def _bear(self):
         """What this member can do now; what it cannot any more it gives up at once."""
-        whole = self.records is not None and self.keeper.state != BROKEN and self.records.sound()
-        self.holder.bears = ["drill"] if self.steps is not None else []
+        whole = self.records is not None and self.keeper.state != STORE_FAILED and self.records.sound()
+        self.holder.duty_kinds = ["drill"] if self.steps is not None else []
         if self.warming is not None:
-            self.holder.bears.append(self.warming.sort)
+            self.holder.duty_kinds.append(self.warming.sort)
         for duty in self.work:
             if whole:
-                self.holder.bears.append(duty.partition("/")[0])
+                self.holder.duty_kinds.append(duty.partition("/")[0])
             else:
                 self._give_up(duty, "its copy cannot be written, or lacks something")
 
     def _give_up(self, duty, why):
-        renew, lost = self.holder.give_up(steady(), duty, why)
+        renew, lost = self.holder.release(steady(), duty, why)
         self._lost(lost)
         if renew is not None:
             self._tell(renew)
@@ -178,47 +177,52 @@
     def heard(self, sender, message):
         if self.stopped:
             return
-        if isinstance(message, w.Renewed):
-            gained, lost, renew = self.holder.heard(steady(), message)
+        if isinstance(message, protocol.Renewed):
+            gained, lost, renew = self.holder.on_renewed(steady(), message)
             self._lost(lost)
             self._gained(gained)
             if renew is not None:
                 self._tell(renew)
-        elif isinstance(message, w.Answer):
+        elif isinstance(message, protocol.Answer):
             self._answered(message)
-        elif isinstance(message, w.Roster):
+        elif isinstance(message, protocol.RosterRequest):
             found = self.roster.shown() if message.name is None else self.roster.explained(message.name)
             if message.name is None and self.sharing is not None:
                 found["shared"] = self.sharing.shown()
             if message.name is None and self.spread is not None:
                 found["spread"] = self.spread.shown()
-            self._send(sender, w.Answer(message.key, found))
+            self._send(sender, protocol.Answer(message.key, found))
         elif isinstance(message, Parcel):
             if self.parcelled is not None:
                 self.parcelled(sender, message)
-        elif isinstance(message, w.Look) and self.keeper is not None:
-            self._send(sender, w.Answer(message.key, {**self.keeper.shown(), "copies": self._copies()}))
-        elif isinstance(message, w.Drill):
+        elif isinstance(message, protocol.StatusRequest) and self.keeper is not None:
+            self._send(
+                sender, protocol.Answer(message.key, {**self.keeper.status(), "copies": self._copies()})
+            )
+        elif isinstance(message, protocol.DrillRequest):
             self._drill(sender, message)
-        elif isinstance(message, w.Fetch | w.Fetched):
+        elif isinstance(message, protocol.Fetch | protocol.Fetched):
             if self.records is not None:
                 self.records.heard(sender, message)
         elif self.keeper is not None:
-            self._carry(self.keeper.take(steady(), w.Heard(sender, message)))
+            self._carry(self.keeper.take(steady(), protocol.Received(sender, message)))
         self._set()
 
     def _carry(self, effects):
         for effect in effects:
-            if isinstance(effect, w.Send):
-                self._send(effect.to, effect.message)
-            elif isinstance(effect, w.Persist):
+            if isinstance(effect, protocol.Send):
+                self._send(effect.receiver, effect.message)
+            elif isinstance(effect, protocol.Persist):
                 deferToThreadPool(self.reactor, self.pool, self.store.write, effect).addCallbacks(
-                    self._wrote, self._not_written, callbackArgs=(effect.token,), errbackArgs=(effect.token,)
+                    self._wrote,
+                    self._not_written,
+                    callbackArgs=(effect.write_id,),
+                    errbackArgs=(effect.write_id,),
                 )
-            elif isinstance(effect, w.File | w.Caught):
+            elif isinstance(effect, protocol.StoreRecords | protocol.SyncCopies):
                 self.reactor.callLater(0, self._file, effect)
             else:
-                self.log(effect.what, **dict(effect.values))
+                self.log(effect.event, **dict(effect.fields))
 
     def _copies(self):
         """[[duty, state, newest, floor, seal]] of what this keeper has on its own disk."""
@@ -226,9 +230,9 @@
 
     def _drill(self, sender, message):
         if self.steps is None:
-            self._send(sender, w.Answer(message.key, ["no drills here: [fleet] drill is not set"]))
+            self._send(sender, protocol.Answer(message.key, ["no drills here: [fleet] drill is not set"]))
             return
-        self._send(sender, w.Answer(message.key, ["cut"]))
+        self._send(sender, protocol.Answer(message.key, ["cut"]))
         self.log("cut off for a drill", ms=message.span // 10, level="warn")
         until = self.reactor.seconds() + message.span / SECOND
         self.reactor.callLater(0, setattr, self.peers, "cut_until", until)
@@ -240,22 +244,22 @@
         if self.stopped:
             return
         if self.records is None:
-            if isinstance(effect, w.File) or effect.orders:
+            if isinstance(effect, protocol.StoreRecords) or effect.sequences:
                 self.log(
                     "records come of which this keeper keeps no copy: [purges] and [desk] are missing",
                     level="error",
                 )
                 self._filed(effect.index)
-        elif isinstance(effect, w.File):
+        elif isinstance(effect, protocol.StoreRecords):
             self.records.agreed(effect.index, effect.records)
         else:
-            self.records.caught(effect.index, effect.orders)
+            self.records.caught(effect.index, effect.sequences)
 
     def _filed(self, index):
-        self._later(w.Filed(index))
+        self._later(protocol.RecordsStored(index))
 
     def _recall(self):
-        self._later(w.Recall())
+        self._later(protocol.CopiesReopened())
 
     def _later(self, event):
         self.reactor.callLater(0, self._take, event)
@@ -267,17 +271,17 @@
 
     def _filed_upto(self, index):
         """Whether all that was agreed up to that entry is in the copy."""
-        unfiled = self.keeper.unfiled
+        unfiled = self.keeper.unstored_entries
         return self.keeper.applied >= index and (not unfiled or unfiled[0] > index) and self.records.whole()
 
     def _step_of(self, duty):
-        row = self.keeper.duties.rows.get(duty)
+        row = self.keeper.duties.by_name.get(duty)
         return row.step if row is not None else 0
 
     def _where(self, duty):
         """Of the owner that the log knows last."""
-        order = self.keeper.duties.orders.get(duty)
-        return order.where if order is not None else ""
+        order = self.keeper.duties.sequences.get(duty)
+        return order.address if order is not None else ""
 
     def _send(self, to, message):
         if to == self.name:  # its own holder, or its own keeper
@@ -288,11 +292,11 @@
     # ---- the disk
 
     def _wrote(self, _, token):
-        self._take(w.Wrote(token, True))
+        self._take(protocol.WriteFinished(token, True))
 
     def _not_written(self, failure, token):
         self.log("keeper's store cannot be written", failure.getErrorMessage(), level="error")
-        self._take(w.Wrote(token, False))
+        self._take(protocol.WriteFinished(token, False))
         self.reactor.callLater(REOPEN_EVERY, self._reopen)
 
     def _reopen(self):
@@ -308,7 +312,7 @@
         return stored
 
     def _reopened(self, stored):
-        self._take(w.Reopened(stored))
+        self._take(protocol.StoreReopened(stored))
 
     def _not_reopened(self, failure):
         self.log("keeper's store still cannot be written", failure.getErrorMessage(), level="error")
@@ -318,7 +322,7 @@
 
     def _tell(self, message):
         """To the leader as far as it is known, else to the keepers in turn."""
-        if self.to is None or self.holder.unheard(steady()):
+        if self.to is None or self.holder.leader_silent(steady()):
             names = list(self.fleet["keepers"])
             self.turn += 1
             self._send(names[self.turn % len(names)], message)
@@ -329,11 +333,11 @@
         for duty, number, cause in gained:
             self.log("duty gained", duty=duty, number=number, why=cause)
             if self.steps is not None and duty.startswith(DRILL):
-                self.steps.work(self.holder.warrants[duty], steady)
+                self.steps.work(self.holder.leases[duty], steady)
             elif duty in self.work:
-                self.work[duty].gained(self.holder.warrants[duty])
+                self.work[duty].gained(self.holder.leases[duty])
             elif self.warming is not None and duty.startswith(WARM):
-                self.warming.gained(self.holder.warrants[duty])
+                self.warming.gained(self.holder.leases[duty])
 
     def _lost(self, lost):
         for duty, number, cause in lost:
@@ -347,8 +351,8 @@
         self.askers["steps"].ask(DONE, [duty, number, step]).addErrback(lambda _: None)
 
     def _answered(self, answer):
-        if answer.elsewhere is not None or answer.result is None:
-            before, self.to = self.to, answer.elsewhere
+        if answer.leader is not None or answer.result is None:
+            before, self.to = self.to, answer.leader
             if self.to not in (None, before):
                 for asker in self.askers.values():
                     asker.moved()
--- a/hookrouter/fleet/member/steps.py
+++ b/hookrouter/fleet/member/steps.py
@@ -72,12 +72,12 @@
 
     def work(self, warrant, clock):
         self.work_on[warrant.duty] = warrant, clock
-        self.act(warrant.duty, warrant.number, 0)
+        self.act(warrant.duty, warrant.fencing_token, 0)
 
     def go(self):
         """A new line: each duty asks where it stands."""
         for duty, (warrant, _) in list(self.work_on.items()):
-            self.act(duty, warrant.number, 0)
+            self.act(duty, warrant.fencing_token, 0)
 
     def act(self, duty, number, step):
         """step 0 asks how far the register is; it does nothing."""
@@ -88,7 +88,9 @@
         if act is None:
             del self.work_on[duty]
             return
-        self.line.sendLine(json.dumps({"duty": act.duty, "number": act.number, "step": act.what}).encode())
+        self.line.sendLine(
+            json.dumps({"duty": act.duty, "number": act.fencing_token, "step": act.action}).encode()
+        )
 
     def told(self, duty, number, ok, step):
         row = self.work_on.get(duty)
--- a/hookrouter/fleet/member/warmed.py
+++ b/hookrouter/fleet/member/warmed.py
@@ -18,7 +18,7 @@
 
 class Warmed:
     def __init__(self, warmer, cache, warrant):
-        self.warmer, self.cache, self.warrant, self.number = warmer, cache, warrant, warrant.number
+        self.warmer, self.cache, self.warrant, self.number = warmer, cache, warrant, warrant.fencing_token
         self.heed, self.router, self.stopped, self.sent = warmer.heed, warmer.router, False, 0
         terms, now = self.router.terms, warmer.now()
         row = self.heed.caches[cache]
@@ -148,7 +148,7 @@
 
     def _fill(self, effect):
         """After any wait the first act is to look at the clock: no fill but by a live warrant."""
-        act = self.warrant.act(self.warmer.clock(), effect)
+        act = self.warrant.authorize(self.warmer.clock(), effect)
         if act is None:
             self.warmer.reactor.callLater(0, self.take, w.Over(w.LEASE))
             return
@@ -157,7 +157,7 @@
         self.sent += 1
         # 16 hex digits as clients' ids have: this router's number, the duty's, the fill's.
         router = self.router.terms.topology.number
-        trace = f"{router % 65_536:04x}{act.number % (1 << 32):08x}{self.sent % 65_536:04x}"
+        trace = f"{router % 65_536:04x}{act.fencing_token % (1 << 32):08x}{self.sent % 65_536:04x}"
         errand = Errand(
             kind_name,
             trace,
@@ -171,7 +171,7 @@
             0,
             self.heed.age(kind, object, effect.group, now),
             True,
-            fence=f"{act.duty} {act.number}",
+            fence=f"{act.duty} {act.fencing_token}",
         )
         self.warmer.count("warming_fills")
         send = self.router.caches.send(
--- a/hookrouter/fleet/member/warming.py
+++ b/hookrouter/fleet/member/warming.py
@@ -48,7 +48,7 @@
         self.lender = Lender(heed.sketch, lambda: heed.purged.newest, router.now())
         heed.halved = self.lender.halved
         self.sort = DUTY + router.terms.topology.zone
-        self.asker = Asker(reactor, f"{member.name}#{member.terms.life}.warming", member._tell)
+        self.asker = Asker(reactor, f"{member.name}#{member.terms.generation}.warming", member._tell)
         member.askers["warming"], self.own, self.at_work = self.asker, {}, {}
         heed.on_list, heed.on_late, heed.on_sent = self._listed, self._late, self._sent
         self.sharing.lend(POPULAR, self._popular)
@@ -137,12 +137,16 @@
     def gained(self, warrant):
         """How far it is known to be done is asked of the keepers first."""
         cache = warrant.duty.removeprefix(f"{self.sort}/")
-        self.asker.ask(DONE, [warrant.duty, warrant.number, 0]).addCallbacks(
+        self.asker.ask(DONE, [warrant.duty, warrant.fencing_token, 0]).addCallbacks(
             self._begin, self._unasked, callbackArgs=(warrant, cache)
         )
 
     def _begin(self, result, warrant, cache, tries=LIST_TRIES):
-        if result[0] != "out of order" or result[1] != warrant.number or warrant.act(steady(), None) is None:
+        if (
+            result[0] != "out of order"
+            or result[1] != warrant.fencing_token
+            or warrant.authorize(steady(), None) is None
+        ):
             return  # it is another's by now
         if cache not in self.heed.caches:  # the feed is late here: without its start no allowance is known
             if tries:
--- a/hookrouter/fleet/wire/wire.py
+++ b/hookrouter/fleet/wire/wire.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ...decisions.owners.words import Message
+from ...decisions.owners.protocol import Message
 from ...errors.wire import MalformedFrame as Malformed
 from .post import Parcel
 
--- a/hookrouter/stores/keeper_log.py
+++ b/hookrouter/stores/keeper_log.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ..decisions.owners.words import Entry, Stored
+from ..decisions.owners.protocol import Entry, Stored
 from ..errors.stores import ForeignStore
 from ..tables.hash_chain import chained_hash as seal
 from .sqlite import BUSY, create, empty, not_opened, transaction
@@ -84,11 +84,11 @@
         return row[0] if row is not None and seal(name.encode(), row[0]) == row[1] else None
 
     def load(self):
-        """What is there, as words.Stored; with a doubt where something is not as it was written."""
+        """What is there, as protocol.Stored; integrity_error where something is not as it was written."""
         try:
             meta = msgspec.msgpack.decode(self._fact("meta"), type=Meta)
         except (msgspec.MsgspecError, TypeError, sqlite3.DatabaseError):
-            return Stored(doubt="its vote and term are not as they were written")
+            return Stored(integrity_error="its vote and term are not as they were written")
         doubt, snapshot = meta.doubt, None
         if meta.base:
             try:
@@ -100,8 +100,8 @@
                     meta.voted,
                     meta.written,
                     max(meta.abstain, meta.term),
-                    marks=tuple(meta.marks.items()),
-                    doubt="its snapshot is not as it was written",
+                    write_counts=tuple(meta.marks.items()),
+                    integrity_error="its snapshot is not as it was written",
                 )
         entries, wrong = self._entries(meta.base)
         if snapshot is not None and snapshot[0] > meta.base + len(entries):
@@ -134,13 +134,13 @@
         return entries, None
 
     def write(self, p):
-        """p: words.Persist. On disk when it returns."""
+        """p: protocol.Persist. On disk when it returns."""
         with transaction(self.file) as run:
-            run("DELETE FROM entries WHERE n > ?", (p.cut,))
-            row = run("SELECT seal FROM entries WHERE n = ?", (p.cut,)).fetchone()
+            run("DELETE FROM entries WHERE n > ?", (p.truncate_after,))
+            row = run("SELECT seal FROM entries WHERE n = ?", (p.truncate_after,)).fetchone()
             before = row[0] if row is not None else self._fact("base seal") or b""
             rows = []
-            for n, entry in enumerate(p.entries, p.cut + 1):
+            for n, entry in enumerate(p.entries, p.truncate_after + 1):
                 body = msgspec.msgpack.encode(entry)
                 before = seal(before, str(n).encode(), body)
                 rows.append((n, body, before))
@@ -151,7 +151,16 @@
             run("DELETE FROM entries WHERE n <= ?", (p.base,))
             if p.snapshot is not None:
                 self._put("snapshot", msgspec.msgpack.encode(Snapshot(*p.snapshot)))
-            meta = Meta(p.term, p.voted, p.written, p.abstain, p.base, p.base_term, dict(p.marks), p.doubt)
+            meta = Meta(
+                p.term,
+                p.voted_for,
+                p.write_count,
+                p.no_vote_through,
+                p.base,
+                p.base_term,
+                dict(p.write_counts),
+                p.integrity_error,
+            )
             self._put("meta", msgspec.msgpack.encode(meta))
 
     def probe(self):
--- a/hookrouter/stores/purge_steps.py
+++ b/hookrouter/stores/purge_steps.py
@@ -1,4 +1,5 @@
-"""A store of purges as one of several copies: the steps that replicas/copy.py decides, parts for others."""
+"""A store of purges as one of several copies: the steps that replicas/record_copy.py decides, parts for
+others."""
 
 import sqlite3
 
@@ -23,7 +24,7 @@
         return (*(row or (floor, self._fact("floor seal"))), floor, (index.fetchone() or (0,))[0])
 
     def file_steps(self, steps, index):
-        """Steps of replicas.copy in one transaction. CopyDiffers: nothing of it was done."""
+        """Steps of replicas.record_copy in one transaction. CopyDiffers: nothing of it was done."""
         with transaction(self.file) as run:
             for command, *fields in steps:
                 STEPS[command](self, *fields)
@@ -114,7 +115,7 @@
         return row[0] or 0
 
 
-# of hookrouter/decisions/replicas/copy.py -> what is done; within one transaction
+# of hookrouter/decisions/replicas/record_copy.py -> what is done; within one transaction
 STEPS = {
     "keep": CopySteps._step_keep,
     "open": CopySteps._step_open,
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,8 +15,7 @@
 from fleet import configuration, endpoint, members, message
 from processes import Cache, FeedStandIn, Standing, ask
 
-from hookrouter.decisions.owners import Keeper, Terms
-from hookrouter.decisions.owners import words as w
+from hookrouter.decisions.owners import Keeper, Settings, protocol
 from hookrouter.stores import UnusableStore
 from hookrouter.stores.keeper_log import KeeperLog
 from standins.ports import free_port
@@ -273,19 +272,23 @@
 def stored(tmp_path, name="a", count=6):
     """A store with some entries, as a keeper made it."""
     log = KeeperLog(tmp_path / "a.db", name)
-    entries = tuple(w.Entry(1, w.COMMAND, ["m#1/1", "declare", [f"d{n}"]]) for n in range(count))
-    log.write(w.Persist(1, 1, "b", 1, 0, None, (("b", 4),), 0, entries, None, 0, 0))
+    entries = tuple(
+        protocol.Entry(1, protocol.COMMAND, ["m#1/1", "declare", [f"d{n}"]]) for n in range(count)
+    )
+    log.write(protocol.Persist(1, 1, "b", 1, 0, None, (("b", 4),), 0, entries, None, 0, 0))
     return log
 
 
 def test_a_store_gives_back_what_was_written_cut_and_folded(tmp_path):
     log = stored(tmp_path)
-    log.write(w.Persist(2, 2, None, 2, 0, None, (), 4, (w.Entry(2, w.NOOP),), None, 0, 0))
-    log.write(w.Persist(3, 2, None, 3, 0, None, (), 5, (), (4, 1, ("a", "b"), ("c",), b"x"), 3, 1))
+    log.write(
+        protocol.Persist(2, 2, None, 2, 0, None, (), 4, (protocol.Entry(2, protocol.NOOP),), None, 0, 0)
+    )
+    log.write(protocol.Persist(3, 2, None, 3, 0, None, (), 5, (), (4, 1, ("a", "b"), ("c",), b"x"), 3, 1))
     log.close()
     log = KeeperLog(tmp_path / "a.db", "a")
     found = log.load()
-    assert found[:4] == (2, None, 3, 0) and found.doubt is None
+    assert found[:4] == (2, None, 3, 0) and found.integrity_error is None
     assert found.base == 3 and found.snapshot == (4, 1, ("a", "b"), ("c",), b"x")
     assert [e.term for e in found.entries] == [1, 2]
     log.close()
@@ -311,12 +314,12 @@
     file.close()
     log = KeeperLog(tmp_path / "a.db", "a")
     found = log.load()
-    assert doubt in found.doubt
-    core = Keeper(Terms("a", 1, ("a", "b", "c")), found, 0, 1)
-    assert core.aside() == w.FORGOT
-    persist = core.take(0, w.Begin())[-1]
+    assert doubt in found.integrity_error
+    core = Keeper(Settings("a", 1, ("a", "b", "c")), found, 0, 1)
+    assert core.exclusion() == protocol.DATA_LOST
+    persist = core.take(0, protocol.Started())[-1]
     log.write(persist)
-    assert log.load().doubt == found.doubt  # it outlives what it was about
+    assert log.load().integrity_error == found.integrity_error  # it outlives what it was about
     log.close()
 
 
@@ -325,7 +328,7 @@
     log.file.execute("PRAGMA max_page_count = 1")
     with pytest.raises(sqlite3.Error):
         log.write(
-            w.Persist(
+            protocol.Persist(
                 2,
                 9,
                 None,
@@ -334,7 +337,7 @@
                 None,
                 (),
                 6,
-                tuple(w.Entry(9, w.COMMAND, ["x" * 4_000]) for _ in range(50)),
+                tuple(protocol.Entry(9, protocol.COMMAND, ["x" * 4_000]) for _ in range(50)),
                 None,
                 0,
                 0,
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -1,4 +1,4 @@
-"""Owners in made-up time: schedules of faults, every interleaving of a bounded model, mistakes seeded on purpose."""
+"""Ownership of duties in simulated time: fault schedules, exhaustive search of a bounded model, seeded mistakes."""
 
 import pytest
 
@@ -6,14 +6,14 @@
 from benchmarks.owners.model import Bounds, explore
 from benchmarks.owners.schedules import granted_away, older_term_counted, schedule, split
 from benchmarks.owners.world import World
-from hookrouter.decisions.owners import Fence, Holder, Keeper, Stored, Terms
-from hookrouter.decisions.owners import words as w
+from hookrouter.decisions.owners import Fence, Holder, Keeper, Settings, Stored, protocol
 from hookrouter.decisions.owners.duties import DECLARE, DONE, GRANT, Duties
 
-NAMES = ("a", "b", "c")
+KEEPERS = ("a", "b", "c")
 
 
 def unsafe(world):
+    """Returns the safety violations, without the checks of the state after the faults."""
     return [what for _, what in world.breaks if not what.startswith("after the faults")]
 
 
@@ -22,7 +22,7 @@
     (range(1, 9), range(44, 48), range(210, 214), range(252, 256), range(1563, 1567), range(3162, 3165)),
 )
 def test_schedules_of_kills_pauses_cuts_full_disks_and_stores_put_back_break_nothing(seeds):
-    """Ranges hold the seeds that once broke something: 44, 212, 254, 1564 and 3163."""
+    """The ranges include seeds that found faults earlier: 44, 212, 254, 1564 and 3163."""
     for seed in seeds:
         world = schedule(seed)
         assert not world.breaks, (seed, world.breaks)
@@ -34,10 +34,10 @@
     for seed in range(1, 6):
         world = World(seed, 3, 3, 6)
         world.engine.run(60_000)
-        owner = next(p for p in world.members.values() if p.holder.warrants)
-        mine = list(owner.holder.warrants)
+        owner = next(process for process in world.members.values() if process.holder.leases)
+        owned_duties = list(owner.holder.leases)
         owner.kill()
-        for duty in mine:
+        for duty in owned_duties:
             world.free_since[duty] = world.engine.now
         world.engine.run(world.engine.now + 20_000)
         assert not world.breaks and not world.free_since
@@ -78,62 +78,67 @@
         assert found(name, 0), name
 
 
-# ---- pieces
+# ---- single classes
 
 
 def keeper(name="a", **stored):
-    core = Keeper(Terms(name, 1, NAMES), Stored(**stored), 1_000_000, 1)
-    core.take(1_000_000, w.Begin())
-    for other in NAMES:
+    """Returns a started Keeper that all others have confirmed; stored: fields of Stored."""
+    core = Keeper(Settings(name, 1, KEEPERS), Stored(**stored), 1_000_000, 1)
+    core.take(1_000_000, protocol.Started())
+    for other in KEEPERS:
         if other != name:
-            core.take(1_000_000, w.Heard(other, w.Known(0, 1)))
+            core.take(1_000_000, protocol.Received(other, protocol.HelloReply(0, 1)))
     return core
 
 
 def test_what_rests_on_the_disk_does_not_leave_before_it_is_there():
     core = keeper()
-    effects = core.take(1_000_001, w.Heard("b", w.Ballot(1, 0, 0)))
-    persist = [e for e in effects if isinstance(e, w.Persist)]
-    assert len(persist) == 1 and persist[0].voted == "b" and not any(isinstance(e, w.Send) for e in effects)
-    assert core.take(1_000_002, w.Wrote(persist[0].token, True)) == [
-        w.Send("b", w.Vote(1, False, True, 2 - 1, 1))
+    effects = core.take(1_000_001, protocol.Received("b", protocol.RequestVote(1, 0, 0)))
+    persist = [effect for effect in effects if isinstance(effect, protocol.Persist)]
+    assert (
+        len(persist) == 1
+        and persist[0].voted_for == "b"
+        and not any(isinstance(effect, protocol.Send) for effect in effects)
+    )
+    assert core.take(1_000_002, protocol.WriteFinished(persist[0].write_id, True)) == [
+        protocol.Send("b", protocol.Vote(1, False, True, 2 - 1, 1))
     ]
 
 
 def test_a_batch_that_failed_is_not_believed_and_nothing_that_waited_for_it_goes_out():
     core = keeper()
-    persist = core.take(1_000_001, w.Heard("b", w.Ballot(1, 0, 0)))[-1]
-    effects = core.take(1_000_002, w.Wrote(persist.token, False))
-    assert not any(isinstance(e, w.Send) for e in effects) and core.state == "broken"
-    assert core.take(1_000_003, w.Heard("c", w.Ballot(2, 0, 0))) == []
-    core.take(1_000_004, w.Reopened(Stored()))
-    assert core.state == "following" and core.voted is None and core.term == 0
+    persist = core.take(1_000_001, protocol.Received("b", protocol.RequestVote(1, 0, 0)))[-1]
+    effects = core.take(1_000_002, protocol.WriteFinished(persist.write_id, False))
+    assert not any(isinstance(effect, protocol.Send) for effect in effects) and core.state == "broken"
+    assert core.take(1_000_003, protocol.Received("c", protocol.RequestVote(2, 0, 0))) == []
+    core.take(1_000_004, protocol.StoreReopened(Stored()))
+    assert core.state == "following" and core.voted_for is None and core.term == 0
 
 
 def test_a_keeper_whose_store_is_older_than_others_know_sets_itself_aside_and_keeps_the_doubt():
-    core = keeper("a", written=5)
-    effects = core.take(1_000_001, w.Heard("b", w.Known(9, 1)))
-    persist = next(e for e in effects if isinstance(e, w.Persist))
-    assert core.aside() == w.FORGOT and persist.doubt
-    core.take(1_000_002, w.Wrote(persist.token, True))
-    assert core.take(1_000_003, w.Heard("b", w.Ballot(1, 0, 0))) == []
+    core = keeper("a", write_count=5)
+    effects = core.take(1_000_001, protocol.Received("b", protocol.HelloReply(9, 1)))
+    persist = next(effect for effect in effects if isinstance(effect, protocol.Persist))
+    assert core.exclusion() == protocol.DATA_LOST and persist.integrity_error
+    core.take(1_000_002, protocol.WriteFinished(persist.write_id, True))
+    assert core.take(1_000_003, protocol.Received("b", protocol.RequestVote(1, 0, 0))) == []
 
 
 def test_a_holder_believes_no_answer_to_what_it_sent_a_lease_ago_and_takes_nothing_back_that_it_gave_up():
-    terms = Terms("a", 1, NAMES)
-    holder = Holder("m", 7, terms)
+    settings = Settings("a", 1, KEEPERS)
+    holder = Holder("m", 7, settings)
     renew, _ = holder.tick(1_000)
-    gained, _, _ = holder.heard(1_200, w.Renewed(renew.seq, 7, [("d", 3)]))
+    gained, _, _ = holder.on_renewed(1_200, protocol.Renewed(renew.seq, 7, [("d", 3)]))
     assert gained == [("d", 3, "granted")]
-    warrant = holder.warrants["d"]
-    assert warrant.act(1_000 + 9_899, "x") and warrant.act(1_000 + 9_900, "x") is None
-    _, lost, again = holder.heard(1_300, w.Renewed(renew.seq, 7, [("d", 3)], ["d"]))
+    lease = holder.leases["d"]
+    assert lease.authorize(1_000 + 9_899, "x") and lease.authorize(1_000 + 9_900, "x") is None
+    _, lost, again = holder.on_renewed(1_300, protocol.Renewed(renew.seq, 7, [("d", 3)], ["d"]))
     assert lost == [("d", 3, "handed over")] and again.released == [("d", 3)]
-    assert holder.heard(1_400, w.Renewed(again.seq, 7, [("d", 3)]))[0] == []
-    late = Holder("m", 7, terms)
+    assert holder.on_renewed(1_400, protocol.Renewed(again.seq, 7, [("d", 3)]))[0] == []
+    late = Holder("m", 7, settings)
     first, _ = late.tick(0)
-    assert late.heard(9_900, w.Renewed(first.seq, 7, [("d", 3)]))[0] == []
-    assert late.heard(100, w.Renewed(first.seq, 6, [("d", 3)]))[0] == []  # of a former life
+    assert late.on_renewed(9_900, protocol.Renewed(first.seq, 7, [("d", 3)]))[0] == []
+    assert late.on_renewed(100, protocol.Renewed(first.seq, 6, [("d", 3)]))[0] == []  # to an earlier process
 
 
 def test_duties_give_one_answer_to_a_repeated_command_and_a_step_to_its_owner_only():
@@ -148,10 +153,14 @@
     for bad in (["nothing"], [None], [], [["d"]], ["d", 1, 2, 3]):
         assert duties.apply(8, "m#1/4", DONE, bad)[0] == "malformed"
     again = Duties(duties.state())
-    assert again.rows == duties.rows and again.owned == duties.owned and again.keys == duties.keys
+    assert (
+        again.by_name == duties.by_name
+        and again.by_owner == duties.by_owner
+        and again.last_results == duties.last_results
+    )
 
 
 def test_a_fence_never_goes_back():
     fence = Fence([("d", 4)])
     assert not fence.admit("d", 3) and fence.admit("d", 4) and fence.admit("d", 9) and not fence.admit("d", 8)
-    assert fence.refused == 2
+    assert fence.rejected == 2
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -1,4 +1,4 @@
-"""Copies of the order of purges: in made-up time beside a plain model, on disk, and among real processes."""
+"""Copies of the purge sequence: in simulated time against a plain model, on disk, and among real processes."""
 
 import http.client
 import json
@@ -12,17 +12,18 @@
 from replicas_mistakes import MISTAKES
 
 from benchmarks.replicas.world import CopyWorld, broken_by, standing
-from hookrouter.decisions.owners.duties import INITIAL_HASH, KEEP, Duties, chained_hash
+from hookrouter.decisions.owners.duties import APPEND, INITIAL_HASH, Duties, chained_hash
 from hookrouter.errors.stores import CopyDiffers
 from hookrouter.purges import Purge
 from hookrouter.stores import PurgeLog
 from hookrouter.stores.purge_rows import pack, unpack
 from standins.rig import Rig, holder
 
-# ---- the log's part
+# ---- the replicated state machine
 
 
 def owned(number=1):
+    """Returns (Duties with "purges" granted to "a#1", its fencing token)."""
     duties = Duties()
     duties.apply(1, "", "declare", ["purges"])
     duties.apply(number + 1, "", "grant", ["purges", "a#1", 0])
@@ -32,33 +33,33 @@
 def test_only_the_owner_of_the_newest_grant_appends_and_nothing_is_left_out_or_doubled():
     duties, old = owned()
     assert duties.apply(3, "a#1/1", "open", ["purges", old, 7, "h:1"]) == ["open", 7, 0]
-    assert duties.apply(4, "a#1/2", KEEP, ["purges", old, 1, [b"x", b"y"]]) == ["kept", 2]
-    assert duties.apply(5, "a#1/2", KEEP, ["purges", old, 1, [b"x", b"y"]]) == ["kept", 2]  # asked again
-    assert duties.records == []
-    assert duties.apply(6, "a#1/3", KEEP, ["purges", old, 2, [b"z"]])[0] == "out of order"
+    assert duties.apply(4, "a#1/2", APPEND, ["purges", old, 1, [b"x", b"y"]]) == ["kept", 2]
+    assert duties.apply(5, "a#1/2", APPEND, ["purges", old, 1, [b"x", b"y"]]) == ["kept", 2]  # a retry
+    assert duties.last_records == []
+    assert duties.apply(6, "a#1/3", APPEND, ["purges", old, 2, [b"z"]])[0] == "out of order"
     duties.apply(7, "", "grant", ["purges", "b#1", old])
-    assert duties.apply(8, "a#1/4", KEEP, ["purges", old, 3, [b"late"]]) == ["old", 7]
+    assert duties.apply(8, "a#1/4", APPEND, ["purges", old, 3, [b"late"]]) == ["old", 7]
     assert duties.apply(9, "a#1/5", "names", ["purges", old, [["n", 1]], []]) == ["old", 7]
-    assert duties.records == []
+    assert duties.last_records == []
     assert duties.apply(10, "b#1/1", "open", ["purges", 7, 0, "h:2"]) == ["open", 8, 2]
-    order = Duties(duties.state()).orders["purges"]
-    assert (order.newest, order.seal) == (2, chained_hash(chained_hash(INITIAL_HASH, b"x"), b"y"))
+    order = Duties(duties.state()).sequences["purges"]
+    assert (order.newest, order.chain_hash) == (2, chained_hash(chained_hash(INITIAL_HASH, b"x"), b"y"))
 
 
 def test_a_sweep_is_a_step_of_its_own_duty_and_done_once():
     duties, number = owned()
     duties.apply(3, "a#1/1", "open", ["purges", number, 7, "h:1"])
-    duties.apply(4, "a#1/2", KEEP, ["purges", number, 1, [b"x", b"y"]])
+    duties.apply(4, "a#1/2", APPEND, ["purges", number, 1, [b"x", b"y"]])
     duties.apply(5, "", "declare", ["sweep/purges"])
     duties.apply(6, "", "grant", ["sweep/purges", "b#1", 0])
     assert duties.apply(7, "b#1/1", "sweep", ["sweep/purges", 6, 1, "purges", 3]) == ["malformed"]
     assert duties.apply(8, "b#1/2", "sweep", ["sweep/purges", 6, 1, "purges", 1]) == ["done", 6, 1]
-    assert duties.records[0].fields == (1,)
+    assert duties.last_records[0].fields == (1,)
     assert duties.apply(9, "c#1/1", "sweep", ["sweep/purges", 6, 1, "purges", 2])[0] == "out of order"
     assert duties.apply(10, "c#1/2", "sweep", ["sweep/purges", 5, 2, "purges", 2])[0] == "old"
 
 
-# ---- a copy's decisions, in made-up time
+# ---- a copy's decisions, in simulated time
 
 
 @pytest.mark.parametrize("seed", range(1, 13))
@@ -79,18 +80,19 @@
 
 
 def body(n, what="x", epoch=5):
+    """Returns the packed record of purge n."""
     return pack(Purge(epoch, n, 100 + n, "tag", what), f"k{n}")
 
 
 def test_a_store_takes_steps_whole_or_not_and_says_where_it_differs(tmp_path):
     log = PurgeLog(tmp_path / "p.db")
     bodies = [body(n) for n in range(1, 6)]
-    log.file_steps(((KEEP, 1, bodies), ("open", 5), ("names", (("m", 3),), ())), 9)
+    log.file_steps(((APPEND, 1, bodies), ("open", 5), ("names", (("m", 3),), ())), 9)
     newest, seal, floor, index = log.position()
     assert (newest, floor, index) == (5, 0, 9) and unpack(bodies[2])[0].n == 3
     for steps in (
-        ((KEEP, 6, [body(6)]), ("verify", 5, b"0" * 16)),
-        ((KEEP, 7, [body(7)]),),
+        ((APPEND, 6, [body(6)]), ("verify", 5, b"0" * 16)),
+        ((APPEND, 7, [body(7)]),),
         (("compare", 3, [body(3, "other")]),),
     ):
         with pytest.raises(CopyDiffers):
@@ -114,6 +116,7 @@
 
 @pytest.fixture
 def rig(tmp_path):
+    """Three keepers as processes, one of which owns the purge desk; fails on uncaught errors in their logs."""
     made = Rig(tmp_path, keepers=3, purges=True)
     made.start()
     try:
@@ -125,7 +128,7 @@
 
 
 def submit(rig, *words):
-    """Its numbers; tried again under the same key by the command itself, and here."""
+    """Submits a purge until it is accepted; returns the command's JSON. The command retries under one key, too."""
 
     def tried():
         code, out = rig.command("submit", *words, "--json", group="purges")
@@ -135,6 +138,8 @@
 
 
 def listed(rig):
+    """Returns [(number, value)] of the latest purges, from the list command."""
+
     def tried():
         code, out = rig.command("list", "--last", "1000", "--json", group="purges")
         return code == 0 and [(row["number"], row["what"]) for row in json.loads(out)["purges"]]
@@ -143,7 +148,7 @@
 
 
 def copies(rig):
-    """What each keeper's store holds, once all are still; the keepers are ended for that."""
+    """Stops the keepers and returns what each one's store holds: {name: [(number, value)]}."""
     for name in rig.keepers:
         if rig.processes[name].poll() is None:
             rig.processes[name].send_signal(signal.SIGCONT)
@@ -159,7 +164,7 @@
 
 
 def same(rig, newest):
-    """Waits until each running copy has all."""
+    """Waits until every keeper's copy has all purges up to that number."""
 
     def all_have():
         rows = rig.status()["keepers"].values()
@@ -182,7 +187,7 @@
             rig.pause(owner)
         else:
             assert rig.command("hand-over", "purges")[0] == 0
-        # The same key as before: known to the next owner. A new one: behind all that was accepted.
+        # The next owner knows the earlier key. A new purge comes after all accepted ones.
         again = submit(rig, "--tag", f"t{n}-2", "--key", f"{n}-2")
         assert again["repeated"] and again["numbers"] == [accepted[-1][0]], fault
         accepted += zip(submit(rig, "--tag", f"after-{n}")["numbers"], [f"after-{n}"])
@@ -228,9 +233,9 @@
             at = data.find(b"a1")
             data[at : at + 2] = b"zz"
             store.write_bytes(bytes(data))
-        elif what == "other":  # of another fleet: as many, and none of them agreed here
+        elif what == "other":  # a store of another fleet, with as many purges, none of them committed here
             log = PurgeLog(store)
-            log.file_steps(((KEEP, 1, [body(n) for n in range(1, len(accepted) + 1)]),), 10**6)
+            log.file_steps(((APPEND, 1, [body(n) for n in range(1, len(accepted) + 1)]),), 10**6)
             log.close()
     rig.start(name)
     assert same(rig, len(accepted))
@@ -257,9 +262,8 @@
     others = [name for name in rig.keepers if name != owner]
     for name in others:
         rig.pause(name)
-    for _ in range(
-        2
-    ):  # while the lease lasts it waits for the log, and is refused when that is over; then at once
+    # The first submission waits for the log until the lease expires; the second is refused at once.
+    for _ in range(2):
         connection = http.client.HTTPConnection("127.0.0.1", rig.desks[owner], timeout=8)
         connection.request(
             "POST",
@@ -307,7 +311,7 @@
 
 def test_the_order_of_a_desk_of_its_own_is_gone_on_with(tmp_path):
     made = Rig(tmp_path, keepers=3, purges=True)
-    log = PurgeLog(tmp_path / "k1-purges.db")  # as `purges serve` left it: some folded away, one member known
+    log = PurgeLog(tmp_path / "k1-purges.db")  # as left by `purges serve`: some removed, one follower known
     log.begin(77)
     log.load()
     made_at = int(time.time() * 10_000)
--- a/tests/test_warming_member.py
+++ b/tests/test_warming_member.py
@@ -9,7 +9,7 @@
 
 from hookrouter import interface
 from hookrouter.caches.errands import Ended, request
-from hookrouter.decisions.owners.holder import Warrant
+from hookrouter.decisions.owners.holder import Lease
 from hookrouter.decisions.warming import words as w
 from hookrouter.fleet.member.warmed import Warmed
 from hookrouter.node.heed import Heed
@@ -52,7 +52,7 @@
         closed=lambda warmed, state, cause: events.append((state, cause)),
     )
     host.heed.listed(SimpleNamespace(whole=False, caches=(cache("c9", born=NOW - SECOND),)), False)
-    return Warmed(warmer, "c9", Warrant("warm.edge/c9", 7, until)), events
+    return Warmed(warmer, "c9", Lease("warm.edge/c9", 7, until)), events
 
 
 FILL = w.Fill(("clip", "k1", 2), 1, 1_000, "c1", 7)
