--- a/hookrouter/decisions/owners/keeper/core.py
+++ b/hookrouter/decisions/owners/keeper/core.py
@@ -67,10 +67,8 @@
         # An integrity error is written again, so that it outlives the data that it is about.
         self.dirty, self.next_sends = self.integrity_error is not None, []
         self.first_unsaved, self.snapshot_unsaved = self.last_index() + 1, False
-        self.acked_at, self.leader_heard_at = (
-            self.now,
-            -LONG_AGO,
-        )  # an ack may have been sent just before the process ended
+        # The previous process may have sent an acknowledgement just before it ended.
+        self.acked_at, self.leader_heard_at = self.now, -LONG_AGO
         self.hello_replies, self.votes, self.majority_suffices_at = (
             {self.name},
             {},
--- a/hookrouter/decisions/owners/keeper/member_requests.py
+++ b/hookrouter/decisions/owners/keeper/member_requests.py
@@ -140,7 +140,5 @@
         }
 
 
-LEADER_COMMANDS = {
-    HAND_OVER: MemberRequests._hand_over,
-    REPLACE: MemberRequests._change_keepers,
-}  # carried out by the leader itself
+# Commands that the leader carries out itself.
+LEADER_COMMANDS = {HAND_OVER: MemberRequests._hand_over, REPLACE: MemberRequests._change_keepers}
