--- a/benchmarks/owners/checks.py
+++ b/benchmarks/owners/checks.py
@@ -95,7 +95,8 @@
         lead = [core for core in cores if core.state == "leading"]
         if len(lead) != 1:
             self.wrong(
-                f"after the faults {len(lead)} lead: {[(c.name, c.state, c.term, c.doubt) for c in cores]}"
+                f"after the faults {len(lead)} lead: "
+                f"{[(c.name, c.state, c.term, c.integrity_error) for c in cores]}"
             )
             return self.breaks
         for duty in lead[0].duties.by_name:
--- a/hookrouter/command/fleet/records.py
+++ b/hookrouter/command/fleet/records.py
@@ -97,8 +97,8 @@
             if path == store:
                 log = KeeperLog(path, sections["fleet"]["name"])
                 found = log.load()
-                last, doubt = found.base + len(found.entries), found.doubt
-                print(f"{path}: entries up to {last}, term {found.term}, written {found.written} times")
+                last, doubt = found.base + len(found.entries), found.integrity_error
+                print(f"{path}: entries up to {last}, term {found.term}, written {found.write_count} times")
                 wrong += [f"{path}: {doubt}"] if doubt else []
             else:
                 log = PurgeLog(path, must_exist=True)
--- a/hookrouter/fleet/member/steps.py
+++ b/hookrouter/fleet/member/steps.py
@@ -82,9 +82,9 @@
     def act(self, duty, number, step):
         """step 0 asks how far the register is; it does nothing."""
         row = self.work_on.get(duty)
-        if row is None or row[0].number != number or self.line is None or self.stopped:
+        if row is None or row[0].fencing_token != number or self.line is None or self.stopped:
             return
-        act = row[0].act(row[1](), step)
+        act = row[0].authorize(row[1](), step)
         if act is None:
             del self.work_on[duty]
             return
@@ -94,7 +94,7 @@
 
     def told(self, duty, number, ok, step):
         row = self.work_on.get(duty)
-        if row is None or row[0].number != number:
+        if row is None or row[0].fencing_token != number:
             return
         if not ok:
             self.log("an old number was refused", duty=duty, number=number, level="warn")
