--- a/hookrouter/decisions/owners/duties.py
+++ b/hookrouter/decisions/owners/duties.py
@@ -77,9 +77,9 @@
         A repeated idempotency key has no further effect and returns the first result.
         """
         requester, self.last_records = key.partition("/")[0], []
-        known = self.last_results.get(requester)
-        if known is not None and known[0] == key:
-            return known[1]
+        previous = self.last_results.get(requester)
+        if previous is not None and previous[0] == key:
+            return previous[1]
         try:
             result = COMMANDS[command](self, index, *fields)
         except (KeyError, TypeError, ValueError):
--- a/hookrouter/decisions/owners/holder.py
+++ b/hookrouter/decisions/owners/holder.py
@@ -41,6 +41,7 @@
         self.renewal_interval = max(1, settings.lease // RENEWALS_PER_LEASE)
         self.lease_span = int(settings.lease * (1 - settings.clock_drift))
         self.seq, self.sent_times, self.next_renewal_at = 0, {}, 0  # seq -> when it was sent
+        # released: (duty, fencing token) given up, reported in each Renew until the leader confirms it
         self.leases, self.released, self.leaving = {}, [], False
         self.answered_at = 0
         self.highest_released = {}  # duty -> highest token given up; never accepted again
--- a/hookrouter/decisions/owners/keeper/core.py
+++ b/hookrouter/decisions/owners/keeper/core.py
@@ -54,6 +54,7 @@
             stored.no_vote_through,
         )
         self.write_counts, self.integrity_error = dict(stored.write_counts), stored.integrity_error
+        # snapshot: (index, term, voters, learners, state); base: index of the last compacted entry
         self.snapshot = stored.snapshot or (0, 0, self.settings.keepers, (), None)
         self.base, self.base_term, self.entries = stored.base, stored.base_term, list(stored.entries)
         self.commit = self.applied = self.snapshot[0]
@@ -63,17 +64,22 @@
         # record_bytes: size of the records in the log.
         self.unstored_entries, self.record_bytes = deque(), sum(map(record_bytes, self.entries))
         self._read_configuration()
+        # inflight_sends wait for the write in flight, next_sends for the one after it; batch_last: last index
+        # of the write in flight
         self.inflight_write, self.inflight_sends, self.inflight_since, self.batch_last = None, [], 0, 0
         # An integrity error is written again, so that it outlives the data that it is about.
         self.dirty, self.next_sends = self.integrity_error is not None, []
         self.first_unsaved, self.snapshot_unsaved = self.last_index() + 1, False
         # The previous process may have sent an acknowledgement just before it ended.
         self.acked_at, self.leader_heard_at = self.now, -LONG_AGO
+        # hello_replies: keepers that confirmed this store's write count; votes: voter -> time since its last
+        # acknowledgement of a leader
         self.hello_replies, self.votes, self.majority_suffices_at = (
             {self.name},
             {},
             self.now + AWAIT_ALL_REPLIES,
         )
+        # pending_commands: log index -> (requester, idempotency key)
         self.peers, self.round, self.leases, self.pending_commands = {}, 0, None, {}
         # own_match: index up to which this leader's own log counts for commit; flush_reports: (round, durable
         # index), where the index counts once a majority has confirmed that round.
--- a/hookrouter/decisions/owners/leases.py
+++ b/hookrouter/decisions/owners/leases.py
@@ -18,6 +18,7 @@
     __slots__ = ("seq", "until", "pending", "leaving", "reply_to", "duty_kinds")
 
     def __init__(self):
+        # pending: (seq, lease end, required round) of unconfirmed renewals
         self.seq, self.until, self.pending, self.leaving, self.reply_to = 0, 0, [], False, None
         self.duty_kinds = None
 
@@ -34,6 +35,8 @@
         self.earlier_leases_until, self.settings = earlier_leases_until, settings
         self.lease_span = int(settings.lease * (1 + settings.clock_drift)) + 1
         self.sessions = {}  # name#generation -> Session
+        # released: (duty, fencing token) given up by its owner; moving: duty -> (target member, deadline);
+        # granting: duty -> log index of the proposed grant
         self.released, self.moving, self.granting = set(), {}, {}
         self.rebalance_at = now + settings.rebalance_interval
 
@@ -47,15 +50,15 @@
 
     def confirmed(self, confirmed_round):
         """Applies the renewals that a confirmed round covers. Returns the ids of their members."""
-        found = []
+        member_ids = []
         for member_id, session in self.sessions.items():
-            done = [row for row in session.pending if row[2] <= confirmed_round]
-            if done:
+            confirmed_renewals = [row for row in session.pending if row[2] <= confirmed_round]
+            if confirmed_renewals:
                 session.pending = [row for row in session.pending if row[2] > confirmed_round]
-                session.seq = max(session.seq, done[-1][0])
-                session.until = max(session.until, done[-1][1])
-                found.append(member_id)
-        return found
+                session.seq = max(session.seq, confirmed_renewals[-1][0])
+                session.until = max(session.until, confirmed_renewals[-1][1])
+                member_ids.append(member_id)
+        return member_ids
 
     def forget_expired(self, now, applied):
         """Removes finished grants, and sessions that expired at least one lease ago."""
@@ -85,23 +88,27 @@
         if not live:
             return []
         counts = {member_id: len(duties.by_owner.get(member_id, ())) for member_id in sorted(live)}
-        held = {member_id: now < self.held_until(member_id) for member_id in duties.by_owner}
-        free = [
+        has_live_lease = {member_id: now < self.held_until(member_id) for member_id in duties.by_owner}
+        unowned = [
             (name, duty)
             for name, duty in duties.by_name.items()
             if self.granting.get(name, 0) <= applied
-            and (duty.owner is None or not held[duty.owner] or (name, duty.fencing_token) in self.released)
+            and (
+                duty.owner is None
+                or not has_live_lease[duty.owner]
+                or (name, duty.fencing_token) in self.released
+            )
         ]
         grants = []
-        for name, duty in free:
-            wanted = self.moving.pop(name, (None, 0))[0]
+        for name, duty in unowned:
+            target = self.moving.pop(name, (None, 0))[0]
             eligible = [member_id for member_id in counts if self.sessions[member_id].supports(name)]
             fewest = min((counts[member_id] for member_id in eligible), default=MAX_DUTIES_PER_MEMBER)
             if fewest >= MAX_DUTIES_PER_MEMBER:
                 continue
             member = (
-                wanted
-                if wanted in eligible
+                target
+                if target in eligible
                 else min(
                     (member_id for member_id in eligible if counts[member_id] == fewest),
                     key=lambda member_id, name=name: blake2b(
