--- a/hookrouter/fleet/member/steps.py
+++ b/hookrouter/fleet/member/steps.py
@@ -72,27 +72,29 @@
 
     def work(self, warrant, clock):
         self.work_on[warrant.duty] = warrant, clock
-        self.act(warrant.duty, warrant.number, 0)
+        self.act(warrant.duty, warrant.fencing_token, 0)
 
     def go(self):
         """A new line: each duty asks where it stands."""
         for duty, (warrant, _) in list(self.work_on.items()):
-            self.act(duty, warrant.number, 0)
+            self.act(duty, warrant.fencing_token, 0)
 
     def act(self, duty, number, step):
         """step 0 asks how far the register is; it does nothing."""
         row = self.work_on.get(duty)
-        if row is None or row[0].number != number or self.line is None or self.stopped:
+        if row is None or row[0].fencing_token != number or self.line is None or self.stopped:
             return
-        act = row[0].act(row[1](), step)
+        act = row[0].authorize(row[1](), step)
         if act is None:
             del self.work_on[duty]
             return
-        self.line.sendLine(json.dumps({"duty": act.duty, "number": act.number, "step": act.what}).encode())
+        self.line.sendLine(
+            json.dumps({"duty": act.duty, "number": act.fencing_token, "step": act.action}).encode()
+        )
 
     def told(self, duty, number, ok, step):
         row = self.work_on.get(duty)
-        if row is None or row[0].number != number:
+        if row is None or row[0].fencing_token != number:
             return
         if not ok:
             self.log("an old number was refused", duty=duty, number=number, level="warn")
