--- a/hookrouter/fleet/member/records.py
+++ b/hookrouter/fleet/member/records.py
@@ -19,25 +19,31 @@
 from ...stores import PurgeLog, UnusableStore
 
 DUTY = "purges"
-PART = 400_000  # bytes of records sent to one that fetches, at a time: a frame takes them
-MOST_NAMES = 10_000
-REOPEN_EVERY = 1.0  # seconds between tries to open a store that failed
-AWAY = 3  # files of copies that differed, kept under other names; older ones are written over
+MAX_FETCH_BYTES = 400_000  # bytes of records sent to one that fetches, at a time: a frame takes them
+MAX_NAMES = 10_000
+REOPEN_INTERVAL = 1.0  # seconds between tries to open a store that failed
+MAX_SET_ASIDE = 3  # files of copies that differed, kept under other names; older ones are written over
 
 
 class Records:
-    def __init__(self, reactor, path, terms, others, clock, log, send, filed, recall):
+    def __init__(self, reactor, path, terms, other_keepers, clock, log, send, on_stored, on_reopened):
         """terms: how old purges are sealed. send(to, message), filed(index), recall(): the member's."""
-        self.reactor, self.path, self.others, self.clock, self.log = reactor, path, others, clock, log
+        self.reactor, self.path, self.other_keepers, self.clock, self.log = (
+            reactor,
+            path,
+            other_keepers,
+            clock,
+            log,
+        )
         self.terms = terms
         self.sealing = SealingLoop(reactor, self._seal, log, "old purges cannot be sealed in the copy")
-        self.send, self.filed, self.recall = send, filed, recall
-        self.stopped, self.call, self.serving, self.away = False, None, 0, 0
+        self.send, self.on_stored, self.on_reopened = send, on_stored, on_reopened
+        self.stopped, self.timer, self.fetches_served, self.set_aside_count = False, None, 0, 0
         self.pool = ThreadPool(1, 1, "copy of purges")
         self.pool.start()
         self.store = None
         try:
-            self.copy = record_copy.RecordCopy(DUTY, others, self._open())
+            self.copy = record_copy.RecordCopy(DUTY, other_keepers, self._open())
         except BaseException:
             self.pool.stop()
             raise
@@ -45,7 +51,7 @@
 
     def _seal(self):
         """A step that seals old purges, so that the next owner of the desk need not read them one by one."""
-        return self._threaded(lambda: self.store.seal_some(self.terms, SEALED_AT_ONCE) == SEALED_AT_ONCE)
+        return self._in_thread(lambda: self.store.seal_some(self.terms, SEALED_AT_ONCE) == SEALED_AT_ONCE)
 
     # ---- the store; blocks
 
@@ -58,95 +64,95 @@
             self.store = PurgeLog(self.path)
             self.store.load(self.terms.hold, self.terms.most_sealed)
             return record_copy.StorePosition(*self.store.position())
-        except DamagedStore as wrong:
-            self.log("copy is damaged, put away and filled anew", str(wrong), level="error")
-            return self._put_away()
-        except sqlite3.Error as wrong:
-            raise UnusableStore(f"{self.path}: {wrong}") from None
+        except DamagedStore as error:
+            self.log("copy is damaged, put away and filled anew", str(error), level="error")
+            return self._set_aside()
+        except sqlite3.Error as error:
+            raise UnusableStore(f"{self.path}: {error}") from None
 
-    def _put_away(self):
+    def _set_aside(self):
         if self.store is not None:
             self.store.close()
             self.store = None
-        self.away = self.away % AWAY + 1
-        for ending in ("", "-wal", "-shm"):
-            if os.path.exists(self.path + ending):
-                os.replace(self.path + ending, f"{self.path}.away{self.away}{ending}")
+        self.set_aside_count = self.set_aside_count % MAX_SET_ASIDE + 1
+        for suffix in ("", "-wal", "-shm"):
+            if os.path.exists(self.path + suffix):
+                os.replace(self.path + suffix, f"{self.path}.away{self.set_aside_count}{suffix}")
         self.store = PurgeLog(self.path)
         return record_copy.StorePosition(*self.store.position())
 
-    def _threaded(self, call, *args):
+    def _in_thread(self, call, *args):
         return deferToThreadPool(self.reactor, self.pool, call, *args)
 
     # ---- told
 
-    def agreed(self, index, records):
-        self._carry(self.copy.on_committed(self.clock(), index, records))
+    def store_committed(self, index, records):
+        self._apply(self.copy.on_committed(self.clock(), index, records))
         if not self.copy.queue and self.copy.writing is None and self.copy.state == record_copy.COMPLETE:
-            self.filed(index)  # nothing of it was this copy's
+            self.on_stored(index)  # nothing of it was this copy's
 
-    def caught(self, index, orders):
+    def apply_snapshot(self, index, orders):
         newest, seal = {duty: rest for duty, *rest in orders}.get(DUTY, (0, INITIAL_HASH))
-        self._carry(self.copy.on_snapshot(self.clock(), index, newest, seal))
+        self._apply(self.copy.on_snapshot(self.clock(), index, newest, seal))
 
-    def heard(self, sender, message):
+    def on_message(self, sender, message):
         """A Fetch or Fetched."""
-        if message.duty != DUTY or sender not in self.others:
+        if message.duty != DUTY or sender not in self.other_keepers:
             return
         if isinstance(message, protocol.Fetched):
-            self._carry(self.copy.on_fetched(self.clock(), sender, message))
-        elif not self.serving:  # one at a time: who serves is not slowed by who catches up
-            self.serving += 1
-            self._threaded(self._part, message).addCallbacks(
-                lambda told: self.send(sender, told), lambda _: None
-            ).addBoth(self._served)
-
-    def _part(self, asked):
-        start, seal, bodies, agrees = self.store.part(asked.after, asked.chain_hash, PART)
+            self._apply(self.copy.on_fetched(self.clock(), sender, message))
+        elif not self.fetches_served:  # one at a time: who serves is not slowed by who catches up
+            self.fetches_served += 1
+            self._in_thread(self._read_for_fetch, message).addCallbacks(
+                lambda reply: self.send(sender, reply), lambda _: None
+            ).addBoth(self._on_fetch_served)
+
+    def _read_for_fetch(self, fetch):
+        start, seal, bodies, agrees = self.store.part(fetch.after, fetch.chain_hash, MAX_FETCH_BYTES)
         index, names = self.store.position()[3], None
-        if asked.names:
-            bodies, names = [], self.store.names()[:MOST_NAMES]
-        return protocol.Fetched(DUTY, asked.request_id, start, seal, bodies, agrees, index, names)
+        if fetch.names:
+            bodies, names = [], self.store.names()[:MAX_NAMES]
+        return protocol.Fetched(DUTY, fetch.request_id, start, seal, bodies, agrees, index, names)
 
-    def _served(self, _):
-        self.serving -= 1
+    def _on_fetch_served(self, _):
+        self.fetches_served -= 1
 
-    def _carry(self, effects):
+    def _apply(self, effects):
         for effect in effects:
             if isinstance(effect, record_copy.Write):
-                self._threaded(self.store.file_steps, effect.steps, effect.index).addCallbacks(
-                    self._written,
-                    self._not_written,
+                self._in_thread(self.store.file_steps, effect.steps, effect.index).addCallbacks(
+                    self._write_done,
+                    self._write_failed,
                     callbackArgs=(effect.write_id,),
                     errbackArgs=(effect.write_id,),
                 )
             elif isinstance(effect, record_copy.SendFetch):
                 self.send(effect.receiver, effect.message)
             elif isinstance(effect, record_copy.RecordsStored):
-                self.filed(effect.index)
+                self.on_stored(effect.index)
             elif effect is record_copy.REPLACE_STORE:
-                self.reactor.callLater(REOPEN_EVERY, self._again, self._put_away)
+                self.reactor.callLater(REOPEN_INTERVAL, self._reopen, self._set_aside)
             elif effect is record_copy.REOPEN_STORE:
-                self.reactor.callLater(REOPEN_EVERY, self._again, self._open)
+                self.reactor.callLater(REOPEN_INTERVAL, self._reopen, self._open)
             else:
                 self.log(effect.event, level="warn", **dict(effect.fields))
-        self._set()
+        self._set_timer()
 
-    def _set(self):
-        if self.call is not None and self.call.active():
-            self.call.cancel()
-        at = self.copy.alarm()
-        if at is not None and not self.stopped:
-            self.call = self.reactor.callLater(max(0.001, (at - self.clock()) / 10_000), self._tick)
+    def _set_timer(self):
+        if self.timer is not None and self.timer.active():
+            self.timer.cancel()
+        alarm_at = self.copy.alarm()
+        if alarm_at is not None and not self.stopped:
+            self.timer = self.reactor.callLater(max(0.001, (alarm_at - self.clock()) / 10_000), self._tick)
 
     def _tick(self):
-        self._carry(self.copy.tick(self.clock()))
+        self._apply(self.copy.tick(self.clock()))
 
-    def _written(self, _, token):
+    def _write_done(self, _, write_id):
         if not self.stopped:
-            self._carry(self.copy.on_written(self.clock(), token, True))
+            self._apply(self.copy.on_written(self.clock(), write_id, True))
 
-    def _not_written(self, failure, token):
+    def _write_failed(self, failure, write_id):
         if self.stopped:
             return
         differs = failure.check(CopyDiffers) is not None
@@ -155,32 +161,34 @@
             failure.getErrorMessage(),
             level="error",
         )
-        self._carry(self.copy.on_written(self.clock(), token, False, differs))
+        self._apply(self.copy.on_written(self.clock(), write_id, False, differs))
 
-    def _again(self, how):
+    def _reopen(self, open_store):
         if not self.stopped:
-            self._threaded(how).addCallbacks(self._opened, self._not_opened, errbackArgs=(how,))
+            self._in_thread(open_store).addCallbacks(
+                self._on_store_opened, self._on_open_failed, errbackArgs=(open_store,)
+            )
 
-    def _opened(self, store):
+    def _on_store_opened(self, store):
         if not self.stopped:
-            self._carry(self.copy.on_opened(self.clock(), store))
-            self.recall()
+            self._apply(self.copy.on_opened(self.clock(), store))
+            self.on_reopened()
 
-    def _not_opened(self, failure, how):
+    def _on_open_failed(self, failure, open_store):
         self.log("copy of purges cannot be opened", failure.getErrorMessage(), level="error")
         if not self.stopped:
-            self.reactor.callLater(REOPEN_EVERY, self._again, how)
+            self.reactor.callLater(REOPEN_INTERVAL, self._reopen, open_store)
 
     # ---- asked by who owns the duties on it
 
-    def shown(self):
+    def describe(self):
         copy = self.copy
         return [DUTY, copy.state, copy.newest, copy.floor, copy.chain_hash.hex()]
 
-    def whole(self):
+    def has_all_records(self):
         return self.copy.is_complete()
 
-    def sound(self):
+    def is_caught_up(self):
         """Whether it only has to take in what comes."""
         return self.copy.state == record_copy.COMPLETE
 
@@ -191,16 +199,16 @@
             loaded = self.store.load(self.terms.hold, self.terms.most_sealed)
             return replayed(loaded, self.terms.hold, epoch)
 
-        return self._threaded(reading)
+        return self._in_thread(reading)
 
-    def older(self, timestamp, most):
-        return self._threaded(self.store.older, timestamp, most)
+    def older(self, timestamp, limit):
+        return self._in_thread(self.store.older, timestamp, limit)
 
     def stop(self):
         self.stopped = True
         self.sealing.stop()
-        if self.call is not None and self.call.active():
-            self.call.cancel()
+        if self.timer is not None and self.timer.active():
+            self.timer.cancel()
         if self.store is not None:
-            self._threaded(self.store.close).addErrback(lambda _: None)
+            self._in_thread(self.store.close).addErrback(lambda _: None)
         self.pool.stop()  # behind what it was given
--- a/hookrouter/fleet/member/roster.py
+++ b/hookrouter/fleet/member/roster.py
@@ -9,68 +9,70 @@
 from ..wire.datagrams import Datagrams
 from ..wire.post import Post
 
-GATHER = 0.5  # seconds in which changes are gathered for the log
-MOST_LINES = 5  # of one gathering, each for one member; of more the log has one line
-MOST_KEPT = 20  # changes of one name that are kept for people
-MOST_NAMES = 5_000  # of whom changes are kept
-MOST_SHOWN = 3_000  # members in one answer: a frame takes them
+LOG_BATCH_DELAY = 0.5  # seconds in which changes are gathered for the log
+MAX_LOG_LINES = 5  # of one gathering, each for one member; of more the log has one line
+MAX_CHANGES_KEPT = 20  # changes of one name that are kept for people
+MAX_NAMES_KEPT = 5_000  # of whom changes are kept
+MAX_MEMBERS_SHOWN = 3_000  # members in one answer: a frame takes them
 VERSION = "0.3"
-SHARES = ", shares"  # in the role of a router that shares: those alone are counted among a zone's
+SHARING_ROLE_SUFFIX = (
+    ", shares"  # in the role of a router that shares: those alone are counted among a zone's
+)
 
 
 class Roster:
-    def __init__(self, reactor, fleet, life, role, clock, log):
+    def __init__(self, reactor, fleet, generation, role, clock, log):
         """fleet: the section of the operator's file."""
         self.reactor, self.clock, self.log = reactor, clock, log
         host, port = fleet["address"] or fleet["listen"]
-        self.listens = fleet["listen"]
+        self.listen_address = fleet["listen"]
         seeds = fleet["seeds"] or tuple(fleet["keepers"].values())
-        me = Member(fleet["name"], life, host, port, fleet["zone"], role, VERSION, 0)
+        local_member = Member(fleet["name"], generation, host, port, fleet["zone"], role, VERSION, 0)
         self.counters = {}
-        self.socket = Datagrams(reactor, fleet["name"], fleet["secret"].value, self._heard, self._count)
+        self.socket = Datagrams(reactor, fleet["name"], fleet["secret"].value, self._on_datagram, self._count)
         seeds = tuple(seed for seed in seeds if seed != (host, port))
-        self.view = View(ViewTerms(seeds=seeds), me, clock(), life)
-        self.posted = None  # called for what further parts say: name, life, Post
-        self.changes, self.gathered, self.call, self.stopped, self.said = {}, [], None, False, None
+        self.view = View(ViewTerms(seeds=seeds), local_member, clock(), generation)
+        self.on_post = None  # called for what further parts say: name, life, Post
+        self.changes, self.unlogged, self.timer, self.stopped, self.logged_settled = {}, [], None, False, None
 
     def _count(self, name):
         self.counters[name] = self.counters.get(name, 0) + 1
 
     def start(self):
-        self.socket.listen(*self.listens)
+        self.socket.listen(*self.listen_address)
         self._tick()
 
     # ---- the view
 
     def _tick(self):
-        self._take(protocol.Tick())
+        self._handle(protocol.Tick())
         settled = self.view.settled_since() is not None
-        if settled != self.said:
-            self.said = settled
+        if settled != self.logged_settled:
+            self.logged_settled = settled
             self.log("view has settled" if settled else "view has not settled", members=self.view.alive_count)
 
-    def _heard(self, name, life, address, message):
+    def _on_datagram(self, name, generation, address, message):
         if self.stopped:
             return
         if not isinstance(message, Post):
-            self._take(protocol.Received(name, life, address, message))
-        elif self.posted is not None:
-            self.posted(name, life, message)
+            self._handle(protocol.Received(name, generation, address, message))
+        elif self.on_post is not None:
+            self.on_post(name, generation, message)
         else:
             self._count("posts_for_nobody")
 
-    def _take(self, event):
+    def _handle(self, event):
         for effect in self.view.take(self.clock(), event):
             if isinstance(effect, protocol.Send):
                 self.socket.send(self.view.local_member.life, effect.name, effect.address, effect.message)
             elif isinstance(effect, protocol.StateChanged):
-                self._changed(effect)
+                self._on_change(effect)
             else:
                 self.log(effect.event, level="warn", **dict(effect.fields))
-        if self.call is not None and self.call.active():
-            self.call.cancel()
+        if self.timer is not None and self.timer.active():
+            self.timer.cancel()
         if not self.stopped:
-            self.call = self.reactor.callLater(
+            self.timer = self.reactor.callLater(
                 max(0.001, (self.view.alarm() - self.clock()) / 10_000), self._tick
             )
 
@@ -80,40 +82,42 @@
 
     # ---- what is told of it
 
-    def _changed(self, changed):
-        rows = self.changes.pop(changed.member.name, None) or deque(maxlen=MOST_KEPT)
+    def _on_change(self, changed):
+        rows = self.changes.pop(changed.member.name, None) or deque(maxlen=MAX_CHANGES_KEPT)
         rows.append((int(time.time() * 1_000), changed))
         self.changes[changed.member.name] = rows
-        if len(self.changes) > MOST_NAMES:
+        if len(self.changes) > MAX_NAMES_KEPT:
             del self.changes[next(iter(self.changes))]
-        if not self.gathered:
-            self.reactor.callLater(GATHER, self._tell)
-        self.gathered.append(changed)
+        if not self.unlogged:
+            self.reactor.callLater(LOG_BATCH_DELAY, self._log_changes)
+        self.unlogged.append(changed)
 
-    def _tell(self):
+    def _log_changes(self):
         """A line each for a few; of many one line, and of a whole zone that it is one."""
-        gathered, self.gathered = self.gathered, []
+        batch, self.unlogged = self.unlogged, []
         by_state = {}
-        for changed in gathered:
+        for changed in batch:
             by_state.setdefault(changed.member.state, []).append(changed)
         for state, rows in by_state.items():
-            if len(rows) <= MOST_LINES:
-                for x in rows:
+            if len(rows) <= MAX_LOG_LINES:
+                for change in rows:
                     self.log(
                         f"member {protocol.STATES[state]}",
-                        member=x.member.name,
-                        zone=x.member.zone,
-                        why=x.reason,
-                        by=",".join(x.sources),
+                        member=change.member.name,
+                        zone=change.member.zone,
+                        why=change.reason,
+                        by=",".join(change.sources),
                     )
                 continue
             self.log(f"members {protocol.STATES[state]}", count=len(rows), of=self.view.alive_count)
-            for zone, lost, of in self.zones([x.member for x in rows]) if state >= protocol.SUSPECT else ():
+            for zone, lost, total in (
+                self.zones([change.member for change in rows]) if state >= protocol.SUSPECT else ()
+            ):
                 self.log(
                     "a zone as a whole does not answer: it is cut off, or down",
                     zone=zone,
                     members=lost,
-                    of=of,
+                    of=total,
                     level="warn",
                 )
 
@@ -122,9 +126,9 @@
         zones = sorted({row.zone for row in rows})
         known = [row.zone for row in self.view.members.values() if row.state != protocol.LEFT]
         found = [(zone, sum(row.zone == zone for row in rows), known.count(zone)) for zone in zones]
-        return [(zone, lost, of) for zone, lost, of in found if lost >= 3 and 2 * lost >= of]
+        return [(zone, lost, total) for zone, lost, total in found if lost >= 3 and 2 * lost >= total]
 
-    def shown(self):
+    def describe(self):
         view = self.view
         view.now = self.clock()
         since = view.settled_since()
@@ -138,7 +142,7 @@
             "slow_itself": view.health_score,
             "counters": dict(sorted(self.counters.items())),
             "of": len(rows),
-            "twins": sorted(f"{name}#{life}" for name, life in view.duplicates),
+            "twins": sorted(f"{name}#{generation}" for name, generation in view.duplicates),
             "members": [
                 [
                     row.name,
@@ -150,32 +154,32 @@
                     row.incarnation,
                     protocol.STATES[row.state],
                 ]
-                for row in rows[:MOST_SHOWN]
+                for row in rows[:MAX_MEMBERS_SHOWN]
             ],
         }
 
-    def explained(self, name):
+    def history(self, name):
         """What was thought of it here, and why: [(wall ms, life, before, state, incarnation, why, by)]."""
         return [
             [
-                at,
-                x.member.life,
-                None if x.previous is None else protocol.STATES[x.previous],
-                protocol.STATES[x.member.state],
-                x.member.incarnation,
-                x.reason,
-                list(x.sources),
+                wall_ms,
+                change.member.life,
+                None if change.previous is None else protocol.STATES[change.previous],
+                protocol.STATES[change.member.state],
+                change.member.incarnation,
+                change.reason,
+                list(change.sources),
             ]
-            for at, x in self.changes.get(name, ())
+            for wall_ms, change in self.changes.get(name, ())
         ]
 
     # ---- the end
 
     def leave(self, final):
-        self._take(protocol.Leave(final))
+        self._handle(protocol.Leave(final))
 
     def stop(self):
         self.stopped = True
-        if self.call is not None and self.call.active():
-            self.call.cancel()
+        if self.timer is not None and self.timer.active():
+            self.timer.cancel()
         self.socket.stop()
--- a/hookrouter/fleet/member/service.py
+++ b/hookrouter/fleet/member/service.py
@@ -15,13 +15,13 @@
 from ...terms import SECOND
 from ..wire import Peers
 from ..wire.post import Parcel
-from .asker import Asker
-from .roster import SHARES, Roster
-from .steps import Steps
+from .command_stream import CommandStream
+from .drill import DrillWorker
+from .roster import SHARING_ROLE_SUFFIX, Roster
 
-REOPEN_EVERY = 1.0  # seconds between tries to write again
-WARM = "warm."  # duties of that name and a zone fill a cache that started
-DRILL = "drill/"  # duties of that name are worked in steps at the register of [fleet] drill
+REOPEN_INTERVAL = 1.0  # seconds between tries to write again
+WARM_PREFIX = "warm."  # duties of that name and a zone fill a cache that started
+DRILL_PREFIX = "drill/"  # duties of that name are worked in steps at the register of [fleet] drill
 
 
 class Member:
@@ -31,45 +31,55 @@
         """
         fleet = sections["fleet"]
         self.reactor, self.log, self.fleet = reactor, log, fleet
-        self.name, self.stopped, self.call, self.store = fleet["name"], False, None, None
+        self.name, self.stopped, self.timer, self.store = fleet["name"], False, None, None
         keepers = fleet["keepers"]
         self.terms = Settings(self.name, int(time.time() * 1_000), tuple(keepers), lease=fleet["lease"])
-        self.peers = Peers(reactor, self.name, dict(keepers), fleet["secret"].value, self.heard, log)
+        self.peers = Peers(reactor, self.name, dict(keepers), fleet["secret"].value, self.on_message, log)
         self.keeper, self.pool = None, None
         if self.name in keepers:
             self.pool = ThreadPool(1, 1, "keeper's store")  # one thread: batches reach the disk in order
             self.pool.start()
             try:
-                stored = self._read()
+                stored = self._load_store()
             except BaseException:
                 self.pool.stop()
                 raise
             self.keeper = Keeper(self.terms, stored, steady(), self.terms.generation)
-        self.holder, self.to, self.turn = Holder(self.name, self.terms.generation, self.terms, []), None, 0
-        self.askers = {
-            stream: Asker(reactor, f"{self.name}#{self.terms.generation}.{stream}", self._tell)
+        self.holder, self.leader_name, self.next_keeper = (
+            Holder(self.name, self.terms.generation, self.terms, []),
+            None,
+            0,
+        )
+        self.command_streams = {
+            stream: CommandStream(
+                reactor, f"{self.name}#{self.terms.generation}.{stream}", self.send_to_leader
+            )
             for stream in ("steps", "purges", "sweep")
         }
-        self.steps = Steps(reactor, fleet["drill"], self._done, log) if fleet["drill"] else None
+        self.drill_worker = (
+            DrillWorker(reactor, fleet["drill"], self._report_step, log) if fleet["drill"] else None
+        )
         self.spread = None
         self.warming = None  # who works the duties warm/..., where this member does
-        self.sharing = self.parcelled = None  # parcelled: called for what further parts say: name, Parcel
-        role = ("keeper" if self.keeper else "member") + (SHARES if routes and "sharing" in sections else "")
+        self.sharing = self.on_parcel = None  # parcelled: called for what further parts say: name, Parcel
+        role = ("keeper" if self.keeper else "member") + (
+            SHARING_ROLE_SUFFIX if routes and "sharing" in sections else ""
+        )
         self.roster = Roster(reactor, fleet, self.terms.generation, role, steady, log)
         self.records = self.port = None
-        self.work = {}  # duty -> who does it
+        self.duty_workers = {}  # duty -> who does it
         if self.keeper is not None and "desk" in sections:
             try:
-                self._bear_purges(sections)
+                self._set_up_purges(sections)
             except BaseException:
                 self.pool.stop()
                 self.store.close()
                 raise
 
-    def _bear_purges(self, sections):
+    def _set_up_purges(self, sections):
         from ...desk.local_store import sealing_terms
-        from .purge_door import Door
-        from .purges import SWEEPING, PurgesDuty, Sweeping
+        from .purge_endpoint import PurgeEndpoint
+        from .purges import SWEEP_DUTY, PurgesDuty, SweepDuty
         from .records import DUTY, Records
 
         others = [name for name in self.fleet["keepers"] if name != self.name]
@@ -81,42 +91,42 @@
             steady,
             self.log,
             self._send,
-            self._filed,
-            self._recall,
+            self._on_records_stored,
+            self._on_copies_reopened,
         )
         desk = PurgesDuty(
             self.reactor,
             self.log,
             sections,
             self.records,
-            self.askers["purges"],
+            self.command_streams["purges"],
             steady,
-            self._filed_upto,
-            self._give_up,
+            self._is_stored_up_to,
+            self.give_up_duty,
         )
-        self.work[DUTY] = desk
-        self.work[SWEEPING] = Sweeping(
+        self.duty_workers[DUTY] = desk
+        self.duty_workers[SWEEP_DUTY] = SweepDuty(
             self.reactor,
             self.log,
             sections["purges"]["hold"],
             self.records,
-            self.askers["sweep"],
+            self.command_streams["sweep"],
             lambda: int(time.time() * SECOND),
             steady,
-            self._step_of,
+            self._last_step,
         )
-        self.door = Door(desk, self.reactor, lambda: self._where(DUTY))
+        self.purge_endpoint = PurgeEndpoint(desk, self.reactor, lambda: self._owner_address(DUTY))
         self.desk_listen = sections["desk"]["listen"]
 
-    def _read(self):
+    def _load_store(self):
         if self.store is not None:
             self.store.close()
         self.store = KeeperLog(self.fleet["store"], self.name)
         try:
             return self.store.load()
-        except sqlite3.Error as wrong:
+        except sqlite3.Error as error:
             self.store.close()
-            raise UnusableStore(f"{self.fleet['store']}: {wrong}") from None
+            raise UnusableStore(f"{self.fleet['store']}: {error}") from None
 
     def start(self):
         self.peers.listen(*self.fleet["listen"])
@@ -124,9 +134,11 @@
             from ...desk.web import serving
 
             host, port = self.desk_listen
-            self.port = self.reactor.listenTCP(port, serving(self.door), backlog=512, interface=host)
+            self.port = self.reactor.listenTCP(
+                port, serving(self.purge_endpoint), backlog=512, interface=host
+            )
         if self.keeper is not None:
-            self._carry(self.keeper.take(steady(), protocol.Started()))
+            self._apply(self.keeper.take(steady(), protocol.Started()))
         self.roster.start()
         self._tick()
         if self.sharing is not None:
@@ -139,97 +151,101 @@
     def _tick(self):
         now = steady()
         if self.keeper is not None and now >= self.keeper.alarm():
-            self._carry(self.keeper.take(now, protocol.Tick()))
-        self._bear()
+            self._apply(self.keeper.take(now, protocol.Tick()))
+        self._update_duty_kinds()
         renew, lost = self.holder.tick(now)
-        self._lost(lost)
+        self._on_lost(lost)
         if renew is not None:
-            self._tell(renew)
-        self._set()
+            self.send_to_leader(renew)
+        self._set_timer()
 
-    def _bear(self):
+    def _update_duty_kinds(self):
         """What this member can do now; what it cannot any more it gives up at once."""
-        whole = self.records is not None and self.keeper.state != STORE_FAILED and self.records.sound()
-        self.holder.duty_kinds = ["drill"] if self.steps is not None else []
+        can_own = (
+            self.records is not None and self.keeper.state != STORE_FAILED and self.records.is_caught_up()
+        )
+        self.holder.duty_kinds = ["drill"] if self.drill_worker is not None else []
         if self.warming is not None:
-            self.holder.duty_kinds.append(self.warming.sort)
-        for duty in self.work:
-            if whole:
+            self.holder.duty_kinds.append(self.warming.duty_kind)
+        for duty in self.duty_workers:
+            if can_own:
                 self.holder.duty_kinds.append(duty.partition("/")[0])
             else:
-                self._give_up(duty, "its copy cannot be written, or lacks something")
+                self.give_up_duty(duty, "its copy cannot be written, or lacks something")
 
-    def _give_up(self, duty, why):
+    def give_up_duty(self, duty, why):
         renew, lost = self.holder.release(steady(), duty, why)
-        self._lost(lost)
+        self._on_lost(lost)
         if renew is not None:
-            self._tell(renew)
+            self.send_to_leader(renew)
 
-    def _set(self):
-        if self.call is not None and self.call.active():
-            self.call.cancel()
+    def _set_timer(self):
+        if self.timer is not None and self.timer.active():
+            self.timer.cancel()
         if not self.stopped:
-            at = self.holder.alarm() if self.keeper is None else min(self.holder.alarm(), self.keeper.alarm())
-            self.call = self.reactor.callLater(max(0.001, (at - steady()) / SECOND), self._tick)
+            alarm_at = (
+                self.holder.alarm() if self.keeper is None else min(self.holder.alarm(), self.keeper.alarm())
+            )
+            self.timer = self.reactor.callLater(max(0.001, (alarm_at - steady()) / SECOND), self._tick)
 
     # ---- messages
 
-    def heard(self, sender, message):
+    def on_message(self, sender, message):
         if self.stopped:
             return
         if isinstance(message, protocol.Renewed):
             gained, lost, renew = self.holder.on_renewed(steady(), message)
-            self._lost(lost)
-            self._gained(gained)
+            self._on_lost(lost)
+            self._on_gained(gained)
             if renew is not None:
-                self._tell(renew)
+                self.send_to_leader(renew)
         elif isinstance(message, protocol.Answer):
-            self._answered(message)
+            self._on_answer(message)
         elif isinstance(message, protocol.RosterRequest):
-            found = self.roster.shown() if message.name is None else self.roster.explained(message.name)
+            found = self.roster.describe() if message.name is None else self.roster.history(message.name)
             if message.name is None and self.sharing is not None:
-                found["shared"] = self.sharing.shown()
+                found["shared"] = self.sharing.describe()
             if message.name is None and self.spread is not None:
-                found["spread"] = self.spread.shown()
+                found["spread"] = self.spread.describe()
             self._send(sender, protocol.Answer(message.key, found))
         elif isinstance(message, Parcel):
-            if self.parcelled is not None:
-                self.parcelled(sender, message)
+            if self.on_parcel is not None:
+                self.on_parcel(sender, message)
         elif isinstance(message, protocol.StatusRequest) and self.keeper is not None:
             self._send(
                 sender, protocol.Answer(message.key, {**self.keeper.status(), "copies": self._copies()})
             )
         elif isinstance(message, protocol.DrillRequest):
-            self._drill(sender, message)
+            self._start_drill(sender, message)
         elif isinstance(message, protocol.Fetch | protocol.Fetched):
             if self.records is not None:
-                self.records.heard(sender, message)
+                self.records.on_message(sender, message)
         elif self.keeper is not None:
-            self._carry(self.keeper.take(steady(), protocol.Received(sender, message)))
-        self._set()
+            self._apply(self.keeper.take(steady(), protocol.Received(sender, message)))
+        self._set_timer()
 
-    def _carry(self, effects):
+    def _apply(self, effects):
         for effect in effects:
             if isinstance(effect, protocol.Send):
                 self._send(effect.receiver, effect.message)
             elif isinstance(effect, protocol.Persist):
                 deferToThreadPool(self.reactor, self.pool, self.store.write, effect).addCallbacks(
-                    self._wrote,
-                    self._not_written,
+                    self._on_written,
+                    self._on_write_failed,
                     callbackArgs=(effect.write_id,),
                     errbackArgs=(effect.write_id,),
                 )
             elif isinstance(effect, protocol.StoreRecords | protocol.SyncCopies):
-                self.reactor.callLater(0, self._file, effect)
+                self.reactor.callLater(0, self._store_records, effect)
             else:
                 self.log(effect.event, **dict(effect.fields))
 
     def _copies(self):
         """[[duty, state, newest, floor, seal]] of what this keeper has on its own disk."""
-        return [] if self.records is None else [self.records.shown()]
+        return [] if self.records is None else [self.records.describe()]
 
-    def _drill(self, sender, message):
-        if self.steps is None:
+    def _start_drill(self, sender, message):
+        if self.drill_worker is None:
             self._send(sender, protocol.Answer(message.key, ["no drills here: [fleet] drill is not set"]))
             return
         self._send(sender, protocol.Answer(message.key, ["cut"]))
@@ -240,7 +256,7 @@
 
     # ---- copies of records; each call in a turn of its own, for one event at a time goes into the core
 
-    def _file(self, effect):
+    def _store_records(self, effect):
         if self.stopped:
             return
         if self.records is None:
@@ -249,115 +265,119 @@
                     "records come of which this keeper keeps no copy: [purges] and [desk] are missing",
                     level="error",
                 )
-                self._filed(effect.index)
+                self._on_records_stored(effect.index)
         elif isinstance(effect, protocol.StoreRecords):
-            self.records.agreed(effect.index, effect.records)
+            self.records.store_committed(effect.index, effect.records)
         else:
-            self.records.caught(effect.index, effect.sequences)
+            self.records.apply_snapshot(effect.index, effect.sequences)
 
-    def _filed(self, index):
-        self._later(protocol.RecordsStored(index))
+    def _on_records_stored(self, index):
+        self._handle_later(protocol.RecordsStored(index))
 
-    def _recall(self):
-        self._later(protocol.CopiesReopened())
+    def _on_copies_reopened(self):
+        self._handle_later(protocol.CopiesReopened())
 
-    def _later(self, event):
-        self.reactor.callLater(0, self._take, event)
+    def _handle_later(self, event):
+        self.reactor.callLater(0, self._handle, event)
 
-    def _take(self, event):
+    def _handle(self, event):
         if not self.stopped:
-            self._carry(self.keeper.take(steady(), event))
-            self._set()
+            self._apply(self.keeper.take(steady(), event))
+            self._set_timer()
 
-    def _filed_upto(self, index):
+    def _is_stored_up_to(self, index):
         """Whether all that was agreed up to that entry is in the copy."""
         unfiled = self.keeper.unstored_entries
-        return self.keeper.applied >= index and (not unfiled or unfiled[0] > index) and self.records.whole()
+        return (
+            self.keeper.applied >= index
+            and (not unfiled or unfiled[0] > index)
+            and self.records.has_all_records()
+        )
 
-    def _step_of(self, duty):
+    def _last_step(self, duty):
         row = self.keeper.duties.by_name.get(duty)
         return row.step if row is not None else 0
 
-    def _where(self, duty):
+    def _owner_address(self, duty):
         """Of the owner that the log knows last."""
         order = self.keeper.duties.sequences.get(duty)
         return order.address if order is not None else ""
 
-    def _send(self, to, message):
-        if to == self.name:  # its own holder, or its own keeper
-            self.reactor.callLater(0, self.heard, to, message)
+    def _send(self, receiver, message):
+        if receiver == self.name:  # its own holder, or its own keeper
+            self.reactor.callLater(0, self.on_message, receiver, message)
         else:
-            self.peers.send(to, message)
+            self.peers.send(receiver, message)
 
     # ---- the disk
 
-    def _wrote(self, _, token):
-        self._take(protocol.WriteFinished(token, True))
+    def _on_written(self, _, write_id):
+        self._handle(protocol.WriteFinished(write_id, True))
 
-    def _not_written(self, failure, token):
+    def _on_write_failed(self, failure, write_id):
         self.log("keeper's store cannot be written", failure.getErrorMessage(), level="error")
-        self._take(protocol.WriteFinished(token, False))
-        self.reactor.callLater(REOPEN_EVERY, self._reopen)
+        self._handle(protocol.WriteFinished(write_id, False))
+        self.reactor.callLater(REOPEN_INTERVAL, self._reopen)
 
     def _reopen(self):
         if not self.stopped:
-            deferToThreadPool(self.reactor, self.pool, self._reread).addCallbacks(
-                self._reopened, self._not_reopened
+            deferToThreadPool(self.reactor, self.pool, self._reload_and_probe).addCallbacks(
+                self._on_store_reopened, self._on_reopen_failed
             )
 
-    def _reread(self):
+    def _reload_and_probe(self):
         """Read anew, and room for a batch is shown by writing one: what was there, and nothing more."""
-        stored = self._read()
+        stored = self._load_store()
         self.store.probe()
         return stored
 
-    def _reopened(self, stored):
-        self._take(protocol.StoreReopened(stored))
+    def _on_store_reopened(self, stored):
+        self._handle(protocol.StoreReopened(stored))
 
-    def _not_reopened(self, failure):
+    def _on_reopen_failed(self, failure):
         self.log("keeper's store still cannot be written", failure.getErrorMessage(), level="error")
-        self.reactor.callLater(REOPEN_EVERY, self._reopen)
+        self.reactor.callLater(REOPEN_INTERVAL, self._reopen)
 
     # ---- duties
 
-    def _tell(self, message):
+    def send_to_leader(self, message):
         """To the leader as far as it is known, else to the keepers in turn."""
-        if self.to is None or self.holder.leader_silent(steady()):
+        if self.leader_name is None or self.holder.leader_silent(steady()):
             names = list(self.fleet["keepers"])
-            self.turn += 1
-            self._send(names[self.turn % len(names)], message)
+            self.next_keeper += 1
+            self._send(names[self.next_keeper % len(names)], message)
         else:
-            self._send(self.to, message)
-
-    def _gained(self, gained):
-        for duty, number, cause in gained:
-            self.log("duty gained", duty=duty, number=number, why=cause)
-            if self.steps is not None and duty.startswith(DRILL):
-                self.steps.work(self.holder.leases[duty], steady)
-            elif duty in self.work:
-                self.work[duty].gained(self.holder.leases[duty])
-            elif self.warming is not None and duty.startswith(WARM):
-                self.warming.gained(self.holder.leases[duty])
-
-    def _lost(self, lost):
-        for duty, number, cause in lost:
-            self.log("duty lost", duty=duty, number=number, why=cause)
-            if duty in self.work:
-                self.work[duty].lost()
-            elif self.warming is not None and duty.startswith(WARM):
-                self.warming.lost(duty)
-
-    def _done(self, duty, number, step):
-        self.askers["steps"].ask(DONE, [duty, number, step]).addErrback(lambda _: None)
-
-    def _answered(self, answer):
+            self._send(self.leader_name, message)
+
+    def _on_gained(self, gained):
+        for duty, fencing_token, cause in gained:
+            self.log("duty gained", duty=duty, number=fencing_token, why=cause)
+            if self.drill_worker is not None and duty.startswith(DRILL_PREFIX):
+                self.drill_worker.start_duty(self.holder.leases[duty], steady)
+            elif duty in self.duty_workers:
+                self.duty_workers[duty].on_gained(self.holder.leases[duty])
+            elif self.warming is not None and duty.startswith(WARM_PREFIX):
+                self.warming.on_gained(self.holder.leases[duty])
+
+    def _on_lost(self, lost):
+        for duty, fencing_token, cause in lost:
+            self.log("duty lost", duty=duty, number=fencing_token, why=cause)
+            if duty in self.duty_workers:
+                self.duty_workers[duty].on_lost()
+            elif self.warming is not None and duty.startswith(WARM_PREFIX):
+                self.warming.on_lost(duty)
+
+    def _report_step(self, duty, fencing_token, step):
+        self.command_streams["steps"].submit(DONE, [duty, fencing_token, step]).addErrback(lambda _: None)
+
+    def _on_answer(self, answer):
         if answer.leader is not None or answer.result is None:
-            before, self.to = self.to, answer.leader
-            if self.to not in (None, before):
-                for asker in self.askers.values():
-                    asker.moved()
+            previous, self.leader_name = self.leader_name, answer.leader
+            if self.leader_name not in (None, previous):
+                for commands in self.command_streams.values():
+                    commands.on_leader_changed()
         else:
-            any(asker.answered(answer) for asker in self.askers.values())
+            any(commands.on_answer(answer) for commands in self.command_streams.values())
 
     # ---- the end
 
@@ -366,8 +386,8 @@
         if self.holder.leaving or self.stopped:
             return
         renew, lost = self.holder.leave(steady())
-        self._lost(lost)
-        self._tell(renew)
+        self._on_lost(lost)
+        self.send_to_leader(renew)
         self.roster.leave(False)
 
     def end(self):
@@ -375,12 +395,12 @@
         if self.stopped:
             return
         self.stopped = True
-        if self.call is not None and self.call.active():
-            self.call.cancel()
-        if self.steps is not None:
-            self.steps.stop()
-        for asker in self.askers.values():
-            asker.stop()
+        if self.timer is not None and self.timer.active():
+            self.timer.cancel()
+        if self.drill_worker is not None:
+            self.drill_worker.stop()
+        for commands in self.command_streams.values():
+            commands.stop()
         if self.warming is not None:
             self.warming.stop()
         if self.sharing is not None:
--- a/hookrouter/fleet/member/sharing.py
+++ b/hookrouter/fleet/member/sharing.py
@@ -9,18 +9,20 @@
 from ...errors.wire import DatagramTooLong
 from ...feed.purges import steady
 from ..wire.post import Parcel
-from .lists import Lists
-from .roster import SHARES
+from .list_transfers import ListTransfers
+from .roster import SHARING_ROLE_SUFFIX
 
 LOADS = "load"  # the topic of the exchange's own datagrams
-SOFT = "soft"  # the topic of the list that a starter pulls
-MOST_DATA = 900  # bytes of another part's post
-LOOK_EVERY = 2_500  # 250 ms between looks at a view that changes: who speaks for whom costs some ms at 500
+SOFT_STATE = "soft"  # the topic of the list that a starter pulls
+MAX_POST_BYTES = 900  # bytes of another part's post
+VIEW_CHECK_INTERVAL = (
+    2_500  # 250 ms between looks at a view that changes: who speaks for whom costs some ms at 500
+)
 LENDERS = 2  # neighbours of the zone whom a starter asks
 
 encode = msgspec.msgpack.Encoder().encode
 decode = msgspec.msgpack.Decoder(protocol.Message).decode
-read_learnt = msgspec.msgpack.Decoder(soft_state.SoftState).decode
+decode_soft_state = msgspec.msgpack.Decoder(soft_state.SoftState).decode
 
 
 class Sharing:
@@ -37,38 +39,42 @@
             pull_rate=section["lend"],
         )
         self.view = member.roster.view
-        me = self.view.local_member
-        self.exchange = Exchange(self.terms, me.name, me.life, me.life)
-        self.lists = Lists(reactor, self.terms, steady, self._parcel, self.count)
+        local_member = self.view.local_member
+        self.exchange = Exchange(self.terms, local_member.name, local_member.life, local_member.life)
+        self.transfers = ListTransfers(reactor, self.terms, steady, self._send_piece, self.count)
         self.subscribers, self.listeners = {}, []
-        self.seen, self.call, self.stopped = None, None, False
-        self.wait_until, self.pulling, self.look_at = None, False, 0  # of a start; when the view is of use
-        self.subscribe(LOADS, self._heard)
-        self.lend(SOFT, lambda: encode(self.state.learnt()))
+        self.seen_digest, self.timer, self.stopped = None, None, False
+        self.ready_deadline, self.pull_started, self.next_view_check = (
+            None,
+            False,
+            0,
+        )  # of a start; when the view is of use
+        self.subscribe(LOADS, self._on_message)
+        self.lend(SOFT_STATE, lambda: encode(self.state.learnt()))
 
     # ---- for other parts of the member
 
-    def subscribe(self, topic, heard):
+    def subscribe(self, topic, handler):
         """heard(now, sender_name, sender_life, data) for each Post of that topic from one who lives."""
-        self.subscribers[topic] = heard
+        self.subscribers[topic] = handler
 
     def post(self, name, topic, data):
         """Whether it was sent; it may be lost on its way. DatagramTooLong: over 900 bytes."""
-        if len(data) > MOST_DATA:
-            raise DatagramTooLong(f"{len(data)} bytes of {topic}, {MOST_DATA} at most")
+        if len(data) > MAX_POST_BYTES:
+            raise DatagramTooLong(f"{len(data)} bytes of {topic}, {MAX_POST_BYTES} at most")
         return self._post(name, topic, data)
 
-    def on_summary(self, listener):
+    def add_listener(self, listener):
         """listener.news(now, Summary) for each cache of which there is news, twice a second."""
         self.listeners.append(listener)
 
-    def lend(self, topic, make):
+    def lend(self, topic, provider):
         """make(): bytes of the list that others may pull, or None."""
-        self.lists.makers[topic] = make
+        self.transfers.providers[topic] = provider
 
-    def pull(self, name, topic, within=None):
+    def pull(self, name, topic, timeout=None):
         """Deferred of the bytes of that member's list, or of None where they did not come in time."""
-        return self.lists.pull(name, topic, self.terms.pull_within if within is None else within)
+        return self.transfers.pull(name, topic, self.terms.pull_within if timeout is None else timeout)
 
     def neighbours(self):
         """Names of the others of the zone that share, in no order of worth."""
@@ -78,105 +84,112 @@
 
     def start(self):
         """The router is not ready until neighbours lent what they know, or the time for it is over."""
-        self.member.roster.posted = self._posted
-        self.member.parcelled = self.lists.heard
-        self.member.peers.elsewhere = self._where
+        self.member.roster.on_post = self._on_post
+        self.member.on_parcel = self.transfers.on_parcel
+        self.member.peers.find_address = self._find_address
         if self.terms.pull_within:
-            self.wait_until = steady() + self.terms.pull_within
+            self.ready_deadline = steady() + self.terms.pull_within
             self.state.wait(True)
-            self.reactor.callLater(self.terms.pull_within / 10_000, self._begun)
+            self.reactor.callLater(self.terms.pull_within / 10_000, self._finish_start)
         self._tick()
 
-    def _begin(self, now):
+    def _pull_soft_state(self, now):
         """Once a neighbour is known it is asked; two where there are two."""
-        if self.wait_until is None or self.pulling or not self.exchange.neighbours or not self.state.listed():
+        if (
+            self.ready_deadline is None
+            or self.pull_started
+            or not self.exchange.neighbours
+            or not self.state.listed()
+        ):
             return
-        self.pulling = True
+        self.pull_started = True
         names = self.exchange.random.sample(
             self.exchange.neighbours, min(LENDERS, len(self.exchange.neighbours))
         )
-        left = max(1, self.wait_until - now)
-        DeferredList([self.pull(name, SOFT, left) for name in names]).addCallback(self._lent, names)
+        remaining = max(1, self.ready_deadline - now)
+        DeferredList([self.pull(name, SOFT_STATE, remaining) for name in names]).addCallback(
+            self._on_soft_state, names
+        )
 
-    def _lent(self, results, names):
-        told = []
+    def _on_soft_state(self, results, names):
+        states = []
         for _, data in results:
             try:
-                told += [read_learnt(data)] if data is not None else []
+                states += [decode_soft_state(data)] if data is not None else []
             except msgspec.MsgspecError:
                 self.count("parcels_malformed")
         if self.stopped:
             return
-        if told:
-            rows = self.state.adopt(told)
+        if states:
+            rows = self.state.adopt(states)
             self.log("took over what neighbours learnt", rows=rows, lenders=",".join(names))
-        self._begun()
+        self._finish_start()
 
-    def _begun(self):
-        if self.wait_until is not None and not self.stopped:
-            self.wait_until = None
+    def _finish_start(self):
+        if self.ready_deadline is not None and not self.stopped:
+            self.ready_deadline = None
             self.state.wait(False)
 
     def stop(self):
         self.stopped = True
-        self.lists.stop()
-        if self.call is not None and self.call.active():
-            self.call.cancel()
+        self.transfers.stop()
+        if self.timer is not None and self.timer.active():
+            self.timer.cancel()
 
     # ---- the exchange
 
     def _tick(self):
         now = steady()
-        self._look(now)
-        self._begin(now)
+        self._update_neighbours(now)
+        self._pull_soft_state(now)
         self.exchange.take(now, protocol.OwnLoads(self.state.loads(now)))
-        self._carry(now, self.exchange.take(now, protocol.Tick()))
+        self._apply(now, self.exchange.take(now, protocol.Tick()))
         if not self.stopped:
-            self.call = self.reactor.callLater(
+            self.timer = self.reactor.callLater(
                 max(0.01, (self.exchange.alarm() - steady()) / 10_000), self._tick
             )
 
-    def _look(self, now):
+    def _update_neighbours(self, now):
         """The zone's routers, where the view has changed."""
-        if self.seen != self.view.digest and now >= self.look_at:
-            self.seen, self.look_at = self.view.digest, now + LOOK_EVERY
-            zone = {}
+        if self.seen_digest != self.view.digest and now >= self.next_view_check:
+            self.seen_digest, self.next_view_check = self.view.digest, now + VIEW_CHECK_INTERVAL
+            generations = {}
             for row in sorted(self.view.alive(), key=lambda row: row.key):
-                if row.zone == self.view.local_member.zone and row.role.endswith(SHARES):
-                    zone[row.name] = row.life  # of two lives the later
-            self.exchange.take(now, protocol.LivingRouters(zone))
+                if row.zone == self.view.local_member.zone and row.role.endswith(SHARING_ROLE_SUFFIX):
+                    generations[row.name] = row.life  # of two lives the later
+            self.exchange.take(now, protocol.LivingRouters(generations))
 
-    def _carry(self, now, effects):
+    def _apply(self, now, effects):
         for effect in effects:
             if isinstance(effect, protocol.Send):
                 self._post(effect.name, LOADS, encode(effect.message))
             else:
                 for listener in self.listeners:
                     for summary in effect.summaries:
-                        listener.news(now, summary)
+                        listener.summary_changed(now, summary)
 
-    def _heard(self, now, name, life, data):
+    def _on_message(self, now, name, generation, data):
         try:
             message = decode(data)
         except msgspec.MsgspecError:
             self.count("shared_malformed")
             return
-        self._look(now)
-        self._carry(now, self.exchange.take(now, protocol.Received(name, life, message)))
+        self._update_neighbours(now)
+        self._apply(now, self.exchange.take(now, protocol.Received(name, generation, message)))
 
     # ---- the wire
 
-    def _row(self, name):
+    def _member_row(self, name):
         keys = self.view.keys_by_name.get(name, ())
         rows = [row for row in map(self.view.members.get, sorted(keys)) if row.state < DEAD]
         return rows[-1] if rows else None
 
-    def _where(self, name):
-        row = self._row(name)
+    def _find_address(self, name):
+        row = self._member_row(name)
         return None if row is None else row.address
 
     def _post(self, name, topic, data):
-        row = self._row(name)
+        row = self._member_row(name)
         if row is None or self.stopped:
             return False
         self.member.roster.post(row, topic, data)
@@ -184,17 +197,17 @@
         self.count("shared_bytes", len(data))
         return True
 
-    def _parcel(self, name, data):
+    def _send_piece(self, name, data):
         self.member.peers.send(name, Parcel("list", data))
 
-    def _posted(self, name, life, post):
-        heard, row = self.subscribers.get(post.topic), self.view.members.get((name, life))
-        if heard is None or row is None or row.state >= DEAD:
+    def _on_post(self, name, generation, post):
+        handler, row = self.subscribers.get(post.topic), self.view.members.get((name, generation))
+        if handler is None or row is None or row.state >= DEAD:
             self.count("shared_refused")
         elif not self.stopped:
-            heard(steady(), name, life, post.data)
+            handler(steady(), name, generation, post.data)
 
-    def shown(self):
+    def describe(self):
         """The board for people: who tells, and the others' loads by cache."""
         now, exchange = steady(), self.exchange
         exchange.now = max(now, exchange.now)
@@ -204,20 +217,26 @@
             "speaker": exchange.own_reporter,
             "counts": dict(exchange.counts),
             "tellers": [
-                [name, teller.life, teller.number, teller.member_count, (now - teller.reported_at) // 10]
-                for name, teller in sorted(exchange.table.reporters.items())
+                [
+                    name,
+                    reporter.life,
+                    reporter.number,
+                    reporter.member_count,
+                    (now - reporter.reported_at) // 10,
+                ]
+                for name, reporter in sorted(exchange.table.reporters.items())
             ],
             "caches": [
                 [
-                    s.cache,
-                    round(s.others_in_flight, 2),
-                    round(s.others_rate, 2),
-                    s.age // 10,
-                    s.covered_routers,
-                    s.other_routers,
-                    s.uncertain,
+                    summary.cache,
+                    round(summary.others_in_flight, 2),
+                    round(summary.others_rate, 2),
+                    summary.age // 10,
+                    summary.covered_routers,
+                    summary.other_routers,
+                    summary.uncertain,
                 ]
-                for s in exchange.summaries()
+                for summary in exchange.summaries()
             ],
         }
 
--- a/hookrouter/fleet/member/spread.py
+++ b/hookrouter/fleet/member/spread.py
@@ -7,7 +7,7 @@
 from ...decisions.spread.messages import TOPIC, Started
 from ...feed.purges import steady
 
-TICK = 0.2  # seconds: the list is looked at, shares are asked for, what was found is told
+TICK_INTERVAL = 0.2  # seconds: the list is looked at, shares are asked for, what was found is told
 encode = msgspec.msgpack.Encoder().encode
 
 
@@ -18,12 +18,12 @@
 
     def __init__(self, reactor, log, section, sharing, router):
         self.reactor, self.log, self.sharing = reactor, log, sharing
-        self.router, self.control, self.alone = router, router.control, True
-        me = sharing.view.local_member
+        self.router, self.control, self.isolated = router, router.control, True
+        local_member = sharing.view.local_member
         terms = spread_terms(router.terms, lease=section["lease"], silent_after=sharing.terms.silent_after)
-        self.spread = Spread(terms, (me.name, me.life), me.life, steady())
+        self.spread = Spread(terms, (local_member.name, local_member.life), local_member.life, steady())
         self.lead = self.spread.lead
-        self.names, self.lines, self.call, self.stopped = None, {}, None, False
+        self.neighbour_names, self.listed, self.timer, self.stopped = None, {}, None, False
         self.counts = {"posts": 0, "refused": 0}
 
     # ---- asked by Control; its time is the wall's
@@ -32,10 +32,10 @@
         return self.spread.others(cache, steady())
 
     def allowance(self, cache, now, cost):
-        said = self.spread.allowance(cache, steady(), cost, now)
-        if said is False:
+        allowed = self.spread.allowance(cache, steady(), cost, now)
+        if allowed is False:
             self.counts["refused"] += 1
-        return said
+        return allowed
 
     def sent(self, cache, now, cost):
         self.spread.sent(cache, now, cost)
@@ -46,84 +46,88 @@
     # ---- life
 
     def start(self):
-        self.sharing.on_summary(self)
-        self.sharing.subscribe(TOPIC, self._heard)
+        self.sharing.add_listener(self)
+        self.sharing.subscribe(TOPIC, self._on_message)
         self._tick()
         self.control.fleet_view = self
 
     def stop(self):
         self.stopped, self.control.fleet_view = True, None
-        if self.call is not None and self.call.active():
-            self.call.cancel()
+        if self.timer is not None and self.timer.active():
+            self.timer.cancel()
 
-    def news(self, now, summary):
+    def summary_changed(self, now, summary):
         self.spread.news(now, summary)
 
     def _tick(self):
         now, wall = steady(), self.router.now()
-        self._list(now, wall)
+        self._update_list(now, wall)
         neighbours = sorted({*self.sharing.neighbours(), self.spread.member_id[0]})
-        if neighbours != self.names:
-            self.names = neighbours
+        if neighbours != self.neighbour_names:
+            self.neighbour_names = neighbours
             self.spread.set_members(neighbours)
         health, posts = self.control.health, []
-        for n in self.control.edges:
+        for row in self.control.edges:
             # Once one send went well there it is found, though few go there yet.
-            aside = health.slow_start_limit[n] == 1
-            cold = (
+            in_slow_start = health.slow_start_limit[row] == 1
+            cold_age = (
                 -1
-                if self.control.cold.limits_in_force(n) is None
-                else max(0, wall - self.control.cold.born[n])
+                if self.control.cold.limits_in_force(row) is None
+                else max(0, wall - self.control.cold.born[row])
             )
             posts += self.spread.observe(
-                now, self.control.cache_ids[n], aside, health.paused_until[n] if aside else None, cold
+                now,
+                self.control.cache_ids[row],
+                in_slow_start,
+                health.paused_until[row] if in_slow_start else None,
+                cold_age,
             )
         self._post(posts + self.spread.tick(now, wall))
-        if self.alone != self.spread.loads.alone(now):
-            self.alone = not self.alone
+        if self.isolated != self.spread.loads.alone(now):
+            self.isolated = not self.isolated
             self.log(
                 "hears nothing of its zone's loads, decides alone"
-                if self.alone
+                if self.isolated
                 else "spreads load by what its zone tells",
                 members=len(neighbours),
             )
         if not self.stopped:
-            self.call = self.reactor.callLater(TICK, self._tick)
+            self.timer = self.reactor.callLater(TICK_INTERVAL, self._tick)
 
-    def _list(self, now, wall):
+    def _update_list(self, now, wall):
         """Lines of the list as Control has them, those that changed; a start that it took for one, too."""
-        control, lines = self.control, {}
-        for name, n in control.row_by_id.items():
-            lines[name] = interface.Cache(
+        control, entries = self.control, {}
+        for name, row in control.row_by_id.items():
+            entries[name] = interface.Cache(
                 name,
-                control.zone[n],
+                control.zone[row],
                 0,
-                control.weight[n],
-                control.cold.born[n],
-                control.phase[n],
-                control.machine_type[n],
+                control.weight[row],
+                control.cold.born[row],
+                control.phase[row],
+                control.machine_type[row],
             )
-        here = [line for line in lines.values() if self._meets(line)]
-        changed = [line for line in here if self.lines.get(line.id) != line]
+        targets = [entry for entry in entries.values() if self._sends_to(entry)]
+        changed = [entry for entry in targets if self.listed.get(entry.id) != entry]
         gone = [
-            line._replace(phase=interface.GONE)
-            for name, line in self.lines.items()
-            if name not in lines or not self._meets(lines[name])
+            entry._replace(phase=interface.GONE)
+            for name, entry in self.listed.items()
+            if name not in entries or not self._sends_to(entries[name])
         ]
         if changed or gone:
             self.spread.listed(now, gone + changed, wall)
-            self.lines = {line.id: line for line in here}
+            self.listed = {entry.id: entry for entry in targets}
 
-    def _meets(self, line):
+    def _sends_to(self, entry):
         """Whether this router sends there: what drains, too, has none of it."""
         terms = self.spread.terms
         return (
-            line.phase == interface.READY
-            and line.machine_type != terms.origin_machine_type
-            and (line.zone == terms.zone or line.machine_type == terms.parent_machine_type)
+            entry.phase == interface.READY
+            and entry.machine_type != terms.origin_machine_type
+            and (entry.zone == terms.zone or entry.machine_type == terms.parent_machine_type)
         )
 
-    def _heard(self, now, name, life, data):
+    def _on_message(self, now, name, generation, data):
         self._post(self.spread.receive(now, self.router.now(), name, data))
 
     def _post(self, posts):
@@ -135,24 +139,24 @@
             self.sharing.post(post.recipient, TOPIC, encode(post.message))
 
     def _started(self, started):
-        n, born = self.control.row_by_id.get(started.cache), self.router.now() - started.age
-        if n is not None and born > self.control.cold.born[n]:
-            self.control.cold.start(n, born)
+        row, started_at = self.control.row_by_id.get(started.cache), self.router.now() - started.age
+        if row is not None and started_at > self.control.cold.born[row]:
+            self.control.cold.start(row, started_at)
 
-    def shown(self):
+    def describe(self):
         """For people: levels of the others by cache, shares of cold ones, who seeks what."""
-        now, busy = steady(), self.spread.loads
+        now, loads = steady(), self.spread.loads
         return {
-            "alone": busy.alone(now),
+            "alone": loads.alone(now),
             "counts": dict(self.counts),
-            "mean": round(busy.mean(), 2),
+            "mean": round(loads.mean(), 2),
             "caches": [
                 [
                     name,
-                    None if (others := busy.others(name, now)) is None else round(others, 2),
-                    row.report.state_at(now, busy.terms),
+                    None if (others := loads.others(name, now)) is None else round(others, 2),
+                    row.report.state_at(now, loads.terms),
                 ]
-                for name, row in sorted(busy.rows.items())
+                for name, row in sorted(loads.rows.items())
             ],
             "shares": [
                 [name, row.own_unit.state, sum(unit.state == "held" for unit in row.borrowed_units.values())]
--- a/hookrouter/fleet/member/warming.py
+++ b/hookrouter/fleet/member/warming.py
@@ -7,35 +7,40 @@
 from ...decisions.warming.rank import rank
 from ...errors.wire import DutyLost, UnusableList
 from ...feed.purges import steady
-from .asker import Asker
-from .warmed import Warmed
-
-POPULAR, COURSES, COURSE, KEPT = "popular", "courses", "course", "kept"  # topics: two pulled, two posted
-DUTY = "warm."  # and the zone, so that a router of that zone owns it: its lists are of use there
-DECLARERS = 3  # of a zone's routers that see a start: one could be gone, all would crowd the log
-DECLARE_AFTER = 0.05  # seconds between them
-DROP_AFTER = 2.0  # seconds
-LIST_TRIES, LIST_AGAIN = 20, 0.1  # looks for a cache on the list, seconds between them
-BORROW_WITHIN = 5_000  # 0.5 s for one list
+from .command_stream import CommandStream
+from .warming_run import WarmingRun
+
+POPULAR_TOPIC, PLANS_TOPIC, PLAN_TOPIC, STORED_TOPIC = (
+    "popular",
+    "courses",
+    "course",
+    "kept",
+)  # topics: two pulled, two posted
+DUTY_PREFIX = "warm."  # and the zone, so that a router of that zone owns it: its lists are of use there
+MAX_DECLARERS = 3  # of a zone's routers that see a start: one could be gone, all would crowd the log
+DECLARE_DELAY = 0.05  # seconds between them
+DROP_DELAY = 2.0  # seconds
+LIST_TRIES, LIST_RETRY_DELAY = 20, 0.1  # looks for a cache on the list, seconds between them
+BORROW_TIMEOUT = 5_000  # 0.5 s for one list
 
 encode = msgspec.msgpack.Encoder().encode
 
 
 class Popular(msgspec.Struct, array_like=True, frozen=True):
-    lent: messages.PopularityList | None
-    courses: list[messages.WarmupPlan]
+    popularity: messages.PopularityList | None
+    plans: list[messages.WarmupPlan]
 
 
-class Note(msgspec.Struct, array_like=True, frozen=True):
+class PlanNote(msgspec.Struct, array_like=True, frozen=True):
     """One has a course to be kept, or keeps it now."""
 
     cache: messages.Text
-    number: messages.Whole
+    fencing_token: messages.Whole
 
 
-read_popular = msgspec.msgpack.Decoder(Popular).decode
-read_courses = msgspec.msgpack.Decoder(list[messages.WarmupPlan]).decode
-read_note = msgspec.msgpack.Decoder(Note).decode
+decode_popular = msgspec.msgpack.Decoder(Popular).decode
+decode_plans = msgspec.msgpack.Decoder(list[messages.WarmupPlan]).decode
+decode_note = msgspec.msgpack.Decoder(PlanNote).decode
 
 
 class Warmer:
@@ -46,15 +51,17 @@
         self.router, self.heed, self.sharing = router, heed, member.sharing
         self.lender = Lender(heed.sketch, lambda: heed.purged.newest, router.now())
         heed.halved = self.lender.halved
-        self.sort = DUTY + router.terms.topology.zone
-        self.asker = Asker(reactor, f"{member.name}#{member.terms.generation}.warming", member._tell)
-        member.askers["warming"], self.own, self.at_work = self.asker, {}, {}
-        heed.on_list, heed.on_late, heed.on_sent = self._listed, self._late, self._sent
-        self.sharing.lend(POPULAR, self._popular)
-        self.sharing.lend(COURSES, lambda: encode(list(self.own.values())))
-        self.sharing.subscribe(COURSE, self._offered)
-        self.sharing.subscribe(KEPT, self._kept)
-        self.sharing.on_summary(self)
+        self.duty_kind = DUTY_PREFIX + router.terms.topology.zone
+        self.commands = CommandStream(
+            reactor, f"{member.name}#{member.terms.generation}.warming", member.send_to_leader
+        )
+        member.command_streams["warming"], self.own_plans, self.runs = self.commands, {}, {}
+        heed.on_list, heed.on_late, heed.on_sent = self._on_list, self._on_late, self._on_sent
+        self.sharing.lend(POPULAR_TOPIC, self._popular)
+        self.sharing.lend(PLANS_TOPIC, lambda: encode(list(self.own_plans.values())))
+        self.sharing.subscribe(PLAN_TOPIC, self._on_plan_offered)
+        self.sharing.subscribe(STORED_TOPIC, self._on_plan_stored)
+        self.sharing.add_listener(self)
 
     def now(self):
         return self.router.now()
@@ -62,170 +69,176 @@
     # ---- what others ask of this one
 
     def _popular(self):
-        lent, _ = self.lender.lend(self.now(), "")
-        return encode(Popular(lent, list(self.lender.plans.values())))
+        popularity, _ = self.lender.lend(self.now(), "")
+        return encode(Popular(popularity, list(self.lender.plans.values())))
 
-    def _offered(self, now, name, life, data):
+    def _on_plan_offered(self, now, name, generation, data):
         """Someone is about to warm: its course is kept here for whoever comes after it."""
         try:
-            note = read_note(data)
+            note = decode_note(data)
         except msgspec.MsgspecError:
             self.count("warming_malformed")
             return
-        self.sharing.pull(name, COURSES, BORROW_WITHIN).addCallback(self._lodged, name, note)
+        self.sharing.pull(name, PLANS_TOPIC, BORROW_TIMEOUT).addCallback(self._on_plans, name, note)
 
-    def _lodged(self, data, name, note):
+    def _on_plans(self, data, name, note):
         try:
-            found = read_courses(data) if data is not None else []
+            found = decode_plans(data) if data is not None else []
         except msgspec.MsgspecError:
             self.count("warming_malformed")
             return
-        for course in found[:16]:
-            if course.cache == note.cache and course.number == note.number and self.lender.store_plan(course):
-                self.sharing.post(name, KEPT, encode(note))
-
-    def _kept(self, now, name, life, data):
+        for plan in found[:16]:
+            if (
+                plan.cache == note.cache
+                and plan.number == note.fencing_token
+                and self.lender.store_plan(plan)
+            ):
+                self.sharing.post(name, STORED_TOPIC, encode(note))
+
+    def _on_plan_stored(self, now, name, generation, data):
         try:
-            note = read_note(data)
+            note = decode_note(data)
         except msgspec.MsgspecError:
             self.count("warming_malformed")
             return
-        warmed = self.at_work.get(note.cache)
-        if warmed is not None and warmed.number == note.number:
-            warmed.take(messages.PlanStored(name))
+        run = self.runs.get(note.cache)
+        if run is not None and run.fencing_token == note.fencing_token:
+            run.handle_event(messages.PlanStored(name))
 
-    def news(self, now, summary):
+    def summary_changed(self, now, summary):
         """Of all others' sends at a cache, from sharing."""
-        warmed = self.at_work.get(summary.cache)
-        if warmed is not None:
-            warmed.others(summary)
+        run = self.runs.get(summary.cache)
+        if run is not None:
+            run.set_others_load(summary)
 
     # ---- what this one sees
 
-    def _listed(self, before):
+    def _on_list(self, before):
         """A cache of the zone that started: one of the zone's first few by its hash says so."""
         now, zone = self.now(), self.router.terms.topology.zone
         for name in self.heed.edges(zone, now):
-            cache, old = self.heed.caches[name], before.get(name)
-            if self.heed.cold(cache, now) and (old is None or cache.born > old.born):
+            cache, previous = self.heed.caches[name], before.get(name)
+            if self.heed.cold(cache, now) and (previous is None or cache.born > previous.born):
                 order = rank(name, [self.member.name, *self.sharing.neighbours()])
-                place = order.index(self.member.name)
-                if place < DECLARERS:
-                    self.reactor.callLater(place * DECLARE_AFTER, self._declare, name)
-        for warmed in list(self.at_work.values()):
-            warmed.looked()
+                position = order.index(self.member.name)
+                if position < MAX_DECLARERS:
+                    self.reactor.callLater(position * DECLARE_DELAY, self._declare, name)
+        for run in list(self.runs.values()):
+            run.on_list_changed()
 
     def _declare(self, name):
         self.log("cache started, its warming is declared", cache=name)
-        self.asker.ask(DECLARE, [f"{self.sort}/{name}"]).addErrback(self._unasked)
+        self.commands.submit(DECLARE, [f"{self.duty_kind}/{name}"]).addErrback(self._ignore_lost_duty)
 
-    def _unasked(self, failure):
+    def _ignore_lost_duty(self, failure):
         failure.trap(DutyLost)
 
-    def _late(self, late):
-        for warmed in self.at_work.values():
-            warmed.answered(late)
+    def _on_late(self, late):
+        for run in self.runs.values():
+            run.on_answer(late)
 
-    def _sent(self, cache, size):
-        warmed = self.at_work.get(cache)
-        if warmed is not None:
-            warmed.looked_up(size or self.heed.mean)
+    def _on_sent(self, cache, size):
+        run = self.runs.get(cache)
+        if run is not None:
+            run.on_lookup_sent(size or self.heed.mean)
 
     # ---- the duty
 
-    def gained(self, warrant):
+    def on_gained(self, lease):
         """How far it is known to be done is asked of the keepers first."""
-        cache = warrant.duty.removeprefix(f"{self.sort}/")
-        self.asker.ask(DONE, [warrant.duty, warrant.fencing_token, 0]).addCallbacks(
-            self._begin, self._unasked, callbackArgs=(warrant, cache)
+        cache = lease.duty.removeprefix(f"{self.duty_kind}/")
+        self.commands.submit(DONE, [lease.duty, lease.fencing_token, 0]).addCallbacks(
+            self._start_run, self._ignore_lost_duty, callbackArgs=(lease, cache)
         )
 
-    def _begin(self, result, warrant, cache, tries=LIST_TRIES):
+    def _start_run(self, result, lease, cache, tries=LIST_TRIES):
         if (
             result[0] != "out of order"
-            or result[1] != warrant.fencing_token
-            or warrant.authorize(steady(), None) is None
+            or result[1] != lease.fencing_token
+            or lease.authorize(steady(), None) is None
         ):
             return  # it is another's by now
         if cache not in self.heed.caches:  # the feed is late here: without its start no allowance is known
             if tries:
-                self.reactor.callLater(LIST_AGAIN, self._begin, result, warrant, cache, tries - 1)
+                self.reactor.callLater(LIST_RETRY_DELAY, self._start_run, result, lease, cache, tries - 1)
             else:
-                self.member._give_up(warrant.duty, "that cache is not on this router's list")
+                self.member.give_up_duty(lease.duty, "that cache is not on this router's list")
             return
-        self.at_work[cache] = Warmed(self, cache, warrant)
-        self.at_work[cache].begin(result[2])
+        self.runs[cache] = WarmingRun(self, cache, lease)
+        self.runs[cache].start(result[2])
 
-    def lost(self, duty):
-        warmed = self.at_work.get(duty.removeprefix(f"{self.sort}/"))
-        if warmed is not None:
-            warmed.take(messages.Aborted(messages.LEASE_OVER))
+    def on_lost(self, duty):
+        run = self.runs.get(duty.removeprefix(f"{self.duty_kind}/"))
+        if run is not None:
+            run.handle_event(messages.Aborted(messages.LEASE_OVER))
 
     def lenders(self, cache):
         """Whom to ask, by the shared hash, so that a successor asks the same: routers of the zone."""
         return tuple(rank(cache, [self.member.name, *self.sharing.neighbours()])[: self.section["lenders"]])
 
-    def borrow(self, lender, cache, came):
+    def borrow(self, lender, cache, callback):
         """came(lender, PopularityList or None, WarmupPlan or None)."""
         if lender == self.member.name:
-            came(lender, *self.lender.lend(self.now(), cache))
+            callback(lender, *self.lender.lend(self.now(), cache))
             return
-        self.sharing.pull(lender, POPULAR, BORROW_WITHIN).addCallback(self._borrowed, lender, cache, came)
+        self.sharing.pull(lender, POPULAR_TOPIC, BORROW_TIMEOUT).addCallback(
+            self._on_borrowed, lender, cache, callback
+        )
 
-    def _borrowed(self, data, lender, cache, came):
-        lent = course = None
+    def _on_borrowed(self, data, lender, cache, callback):
+        popularity = plan = None
         try:
             if data is not None:
-                told = read_popular(data)
-                course = next((one for one in told.courses if one.cache == cache), None)
-                lent = told.lent and lists.validate(told.lent)
-        except (msgspec.MsgspecError, UnusableList) as wrong:
-            self.log("a neighbour's list was put aside", f"{lender}: {wrong}", level="warn")
+                popular = decode_popular(data)
+                plan = next((candidate for candidate in popular.plans if candidate.cache == cache), None)
+                popularity = popular.popularity and lists.validate(popular.popularity)
+        except (msgspec.MsgspecError, UnusableList) as error:
+            self.log("a neighbour's list was put aside", f"{lender}: {error}", level="warn")
             self.count("warming_lists_unfit")
-        came(lender, lent, course)
+        callback(lender, popularity, plan)
 
-    def lodge(self, course, lenders):
-        self.own[course.cache] = course
+    def offer_plan(self, plan, lenders):
+        self.own_plans[plan.cache] = plan
         for lender in lenders:
             if lender == self.member.name:
-                self.lender.store_plan(course)  # others keep it, or it is lost with this process
+                self.lender.store_plan(plan)  # others keep it, or it is lost with this process
             else:
-                self.sharing.post(lender, COURSE, encode(Note(course.cache, course.number)))
+                self.sharing.post(lender, PLAN_TOPIC, encode(PlanNote(plan.cache, plan.number)))
 
-    def report(self, warmed, step):
-        self.asker.ask(DONE, [warmed.warrant.duty, warmed.number, step]).addCallbacks(
-            self._told, self._unasked, callbackArgs=(warmed, step)
+    def report_step(self, run, step):
+        self.commands.submit(DONE, [run.lease.duty, run.fencing_token, step]).addCallbacks(
+            self._on_reported, self._ignore_lost_duty, callbackArgs=(run, step)
         )
 
-    def _told(self, result, warmed, step):
+    def _on_reported(self, result, run, step):
         if result[0] == "done" or (result[0] == "out of order" and result[2] >= step):
-            warmed.take(messages.Reported(step))
+            run.handle_event(messages.Reported(step))
         else:
-            warmed.take(messages.Aborted(messages.LEASE_OVER))
+            run.handle_event(messages.Aborted(messages.LEASE_OVER))
 
-    def closed(self, warmed, state, cause):
+    def on_closed(self, run, state, cause):
         """The duty goes where its work is over, and stays for a successor where only this owner is out."""
-        if self.at_work.get(warmed.cache) is warmed:
-            del self.at_work[warmed.cache]
-        self.own.pop(warmed.cache, None)
+        if self.runs.get(run.cache) is run:
+            del self.runs[run.cache]
+        self.own_plans.pop(run.cache, None)
         self.log(
             "warming is over",
-            cache=warmed.cache,
+            cache=run.cache,
             state=state,
             why=cause,
-            number=warmed.number,
-            **dict(warmed.counts()),
+            number=run.fencing_token,
+            **dict(run.counts()),
         )
         if cause not in (messages.LEASE_OVER, messages.OLD_NUMBER):
             # Those that saw the start a little later must find that the duty is there.
-            self.reactor.callLater(DROP_AFTER, self._drop, warmed.warrant.duty)
+            self.reactor.callLater(DROP_DELAY, self._drop, run.lease.duty)
 
     def _drop(self, duty):
-        self.asker.ask(DROP, [duty]).addErrback(self._unasked)
+        self.commands.submit(DROP, [duty]).addErrback(self._ignore_lost_duty)
 
-    def place(self, cache):
+    def cold_position(self, cache):
         """(how many warmings this router knows of, which this is): sources' room is shared out so."""
-        names = sorted({*self.at_work, *self.lender.plans} & set(self.heed.caches) | {cache})
+        names = sorted({*self.runs, *self.lender.plans} & set(self.heed.caches) | {cache})
         cold = [name for name in names if name == cache or self.heed.cold(self.heed.caches[name], self.now())]
         return len(cold), cold.index(cache)
 
@@ -237,5 +250,5 @@
         values[name] = values.get(name, 0) + by
 
     def stop(self):
-        for warmed in list(self.at_work.values()):
-            warmed.stop()
+        for run in list(self.runs.values()):
+            run.stop()
--- a/hookrouter/fleet/member/warmed.py
+++ b/hookrouter/fleet/member/warming_run.py
@@ -15,35 +15,40 @@
 from ...decisions.warming.pace import ColdCapacity
 from ...decisions.warming.planning import Kind
 
-TICK = 0.02  # seconds
-FILL_WITHIN = 40_000  # 4 s: what takes longer helps nobody
-PACE = 0.5  # of the fall multiple, as control's own
+TICK_INTERVAL = 0.02  # seconds
+FILL_TIMEOUT = 40_000  # 4 s: what takes longer helps nobody
+OVERLOAD_SHARE = 0.5  # of the fall multiple, as control's own
 BURST = 1_000  # 100 ms of it at once
-USUAL = 0.05  # late lookups in calm
-PARTS, WHOLE = 2, 1  # candidates, as control's placing has them
+CALM_LATE_SHARE = 0.05  # late lookups in calm
+PART_CANDIDATES, WHOLE_CANDIDATES = 2, 1  # candidates, as control's placing has them
 
 
-class Warmed:
-    def __init__(self, warmer, cache, warrant):
-        self.warmer, self.cache, self.warrant, self.number = warmer, cache, warrant, warrant.fencing_token
+class WarmingRun:
+    def __init__(self, warmer, cache, lease):
+        self.warmer, self.cache, self.lease, self.fencing_token = warmer, cache, lease, lease.fencing_token
         self.heed, self.router, self.stopped, self.sent = warmer.heed, warmer.router, False, 0
         terms, now = self.router.terms, warmer.now()
         row = self.heed.caches[cache]
         self.zone = row.zone
-        self.flow = terms.topology.answer_rate / 10  # bytes in a tenth of a millisecond, one transfer
+        self.transfer_rate = (
+            terms.topology.answer_rate / 10
+        )  # bytes in a tenth of a millisecond, one transfer
         allowance = None
         if row.born:
             cold = ColdCapacity(
-                terms.cold_share, terms.cold_duration, terms.overload_multiple * PACE * row.weight, BURST
+                terms.cold_share,
+                terms.cold_duration,
+                terms.overload_multiple * OVERLOAD_SHARE * row.weight,
+                BURST,
             )
-            allowance = Allowance(cold, row.born, self._crew(), now)
-        self.allowance, self.strain = allowance, OverloadDetector(USUAL)
-        self.doors = FillGate(cache, allowance, warmer.section["slots"])
-        self.doors.work_per_byte = 1 / self.flow
+            allowance = Allowance(cold, row.born, self._router_count(), now)
+        self.allowance, self.overload = allowance, OverloadDetector(CALM_LATE_SHARE)
+        self.fill_gate = FillGate(cache, allowance, warmer.section["slots"])
+        self.fill_gate.work_per_byte = 1 / self.transfer_rate
         self.kinds = {
             kind.name: Kind(
                 kind.idempotency == interface.IDEMPOTENT and not kind.write,
-                PARTS if kind.in_parts else WHOLE,
+                PART_CANDIDATES if kind.in_parts else WHOLE_CANDIDATES,
                 kind.fresh_duration,
                 kind.utility,
             )
@@ -51,37 +56,41 @@
         }
         self.table = Warming(
             steps.Terms(
-                cache, self._scene, self.heed.purged, self.doors.source_for, lenders=warmer.section["lenders"]
+                cache,
+                self._location_state,
+                self.heed.purged,
+                self.fill_gate.source_for,
+                lenders=warmer.section["lenders"],
             ),
             BorrowedLists(),
         )
 
-    def _crew(self):
+    def _router_count(self):
         return max(1, len(self.warmer.sharing.neighbours()) + 1)
 
-    def begin(self, done):
-        self.take(messages.Owned(self.number, done, self.warmer.lenders(self.cache)))
+    def start(self, last_step):
+        self.handle_event(messages.Owned(self.fencing_token, last_step, self.warmer.lenders(self.cache)))
         self._tick()
 
     # ---- the location
 
-    def _scene(self):
+    def _location_state(self):
         heed, now = self.heed, self.warmer.now()
-        after, past = heed.edges(self.zone, now), heed.edges(self.zone, now, settled=True)
+        after, settled = heed.edges(self.zone, now), heed.edges(self.zone, now, settled=True)
         before = tuple(name for name in after if name != self.cache)
         return LocationState(
             self.cache,
             before,
             after,
-            self._warm(now),
+            self._warm_caches(now),
             heed.parents(now),
             self.kinds,
             self.router.terms.topology.siblings != interface.NO_SIBLINGS,
-            past or before,
+            settled or before,
             self.warmer.section["room"] or 0,
         )
 
-    def _warm(self, now):
+    def _warm_caches(self, now):
         heed = self.heed
         return frozenset(
             name
@@ -89,66 +98,72 @@
             if not heed.cold(heed.caches[name], now) and name != self.cache
         )
 
-    def looked(self):
+    def on_list_changed(self):
         """The list of caches has changed."""
         row, now = self.heed.caches.get(self.cache), self.warmer.now()
         if row is None:
-            self.take(messages.Aborted(messages.CACHE_LEFT))
+            self.handle_event(messages.Aborted(messages.CACHE_LEFT))
         elif row.phase != interface.READY:
-            self.take(messages.Aborted(messages.DRAINED))
+            self.handle_event(messages.Aborted(messages.DRAINED))
         elif self.allowance is not None and row.born > self.allowance.born:
-            self.take(messages.Aborted(messages.CACHE_FAILED))  # it started anew: that is another warming
+            self.handle_event(
+                messages.Aborted(messages.CACHE_FAILED)
+            )  # it started anew: that is another warming
         else:
-            self.doors.update(
-                now, True, self._warm(now), self.heed.parents(now), *self.warmer.place(self.cache)
+            self.fill_gate.update(
+                now,
+                True,
+                self._warm_caches(now),
+                self.heed.parents(now),
+                *self.warmer.cold_position(self.cache),
             )
 
-    def others(self, summary):
+    def set_others_load(self, summary):
         if self.allowance is not None and summary is not None:
-            work = self.heed.mean / self.flow
+            work = self.heed.mean / self.transfer_rate
             self.allowance.set_others(self.warmer.now(), summary.age, summary.others_rate * work / 10_000)
 
-    def looked_up(self, size):
+    def on_lookup_sent(self, size):
         if self.allowance is not None:
-            self.allowance.spend_lookup(self.warmer.now(), size / self.flow)
+            self.allowance.spend_lookup(self.warmer.now(), size / self.transfer_rate)
 
-    def answered(self, late):
-        changed = self.strain.answered(self.warmer.now(), late)
+    def on_answer(self, late):
+        changed = self.overload.answered(self.warmer.now(), late)
         if changed is not None:
-            self.take(messages.OverloadChanged(changed))
+            self.handle_event(messages.OverloadChanged(changed))
 
     # ---- the table
 
-    def take(self, event):
+    def handle_event(self, event):
         if self.stopped:
             return
         now = self.warmer.now()
-        self.doors.set_time(now)
+        self.fill_gate.set_time(now)
         for effect in self.table.handle(now, event):
             EFFECTS[type(effect)](self, effect)
 
     def _tick(self):
         if not self.stopped:
-            self.looked()
-            self.take(messages.Tick())
-            self.warmer.reactor.callLater(TICK, self._tick)
+            self.on_list_changed()
+            self.handle_event(messages.Tick())
+            self.warmer.reactor.callLater(TICK_INTERVAL, self._tick)
 
     def _borrow(self, effect):
         # In a turn of its own: one event at a time goes into the table.
-        self.warmer.reactor.callLater(0, self.warmer.borrow, effect.lender, self.cache, self._came)
+        self.warmer.reactor.callLater(0, self.warmer.borrow, effect.lender, self.cache, self._on_list)
 
-    def _came(self, lender, lent, course):
-        self.take(messages.ListReceived(lender, lent, course))
+    def _on_list(self, lender, popularity, plan):
+        self.handle_event(messages.ListReceived(lender, popularity, plan))
 
-    def _lodge(self, effect):
-        self.warmer.lodge(effect.plan, effect.lenders)
+    def _offer_plan(self, effect):
+        self.warmer.offer_plan(effect.plan, effect.lenders)
 
     def _report(self, effect):
-        self.warmer.report(self, effect.step)
+        self.warmer.report_step(self, effect.step)
 
-    def _closed(self, effect):
+    def _on_closed(self, effect):
         self.stopped = True
-        self.warmer.closed(self, effect.state, effect.cause)
+        self.warmer.on_closed(self, effect.state, effect.cause)
 
     def stop(self):
         self.stopped = True
@@ -157,16 +172,16 @@
 
     def _fill(self, effect):
         """After any wait the first act is to look at the clock: no fill but by a live warrant."""
-        act = self.warrant.authorize(self.warmer.clock(), effect)
-        if act is None:
-            self.warmer.reactor.callLater(0, self.take, messages.Aborted(messages.LEASE_OVER))
+        fenced = self.lease.authorize(self.warmer.clock(), effect)
+        if fenced is None:
+            self.warmer.reactor.callLater(0, self.handle_event, messages.Aborted(messages.LEASE_OVER))
             return
         kind_name, object, part = effect.name
         kind, now = self.router.kinds[kind_name], self.warmer.now()
         self.sent += 1
         # 16 hex digits as clients' ids have: this router's number, the duty's, the fill's.
         router = self.router.terms.topology.number
-        trace = f"{router % 65_536:04x}{act.fencing_token % (1 << 32):08x}{self.sent % 65_536:04x}"
+        trace = f"{router % 65_536:04x}{fenced.fencing_token % (1 << 32):08x}{self.sent % 65_536:04x}"
         errand = Errand(
             kind_name,
             trace,
@@ -175,26 +190,31 @@
             None,
             None,
             b"",
-            FILL_WITHIN,
+            FILL_TIMEOUT,
             effect.source or self._origin(),
             0,
             self.heed.age(kind, object, effect.group, now),
             True,
-            fence=f"{act.duty} {act.fencing_token}",
+            fence=f"{fenced.duty} {fenced.fencing_token}",
         )
         self.warmer.count("warming_fills")
         send = self.router.caches.send(
-            self.cache, errand, FILL_WITHIN / 10_000, self.router.control.rules.max_start_delay / 10_000
+            self.cache, errand, FILL_TIMEOUT / 10_000, self.router.control.rules.max_start_delay / 10_000
         )
-        send.deferred.addCallback(self._ended, effect)
+        send.deferred.addCallback(self._on_fill_ended, effect)
 
     def _origin(self):
-        sort = self.router.terms.topology.origin_machine_type
+        origin_type = self.router.terms.topology.origin_machine_type
         return next(
-            (name for name, one in sorted(self.heed.caches.items()) if one.machine_type == sort), None
+            (
+                name
+                for name, candidate in sorted(self.heed.caches.items())
+                if candidate.machine_type == origin_type
+            ),
+            None,
         )
 
-    def _ended(self, ended, effect):
+    def _on_fill_ended(self, ended, effect):
         if ended.refused:
             end = messages.OLD_NUMBER
         elif ended.end != interface.SATISFIED:
@@ -202,16 +222,16 @@
         else:
             end = messages.HELD_ALREADY if ended.note == interface.FOUND else messages.FILLED
         self.warmer.count("warming_" + end.replace(" ", "_"))
-        self.take(messages.FillEnded(effect.name, end))
+        self.handle_event(messages.FillEnded(effect.name, end))
 
     def counts(self):
         return {word.replace(" ", "_"): count for word, count in sorted(self.table.counts.items())}
 
 
 EFFECTS = {
-    messages.Borrow: Warmed._borrow,
-    messages.Store: Warmed._lodge,
-    messages.Report: Warmed._report,
-    messages.Closed: Warmed._closed,
-    messages.Fill: Warmed._fill,
+    messages.Borrow: WarmingRun._borrow,
+    messages.Store: WarmingRun._offer_plan,
+    messages.Report: WarmingRun._report,
+    messages.Closed: WarmingRun._on_closed,
+    messages.Fill: WarmingRun._fill,
 }
--- a/hookrouter/fleet/wire/datagrams.py
+++ b/hookrouter/fleet/wire/datagrams.py
@@ -11,20 +11,20 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from ...decisions.view.protocol import Message
+from .frames import Malformed, decode_sealed
 from .post import Post
-from .wire import Malformed, opened
 
-SEAL = 16  # bytes
-MOST = 1_400  # bytes of a datagram: within one packet of an Ethernet
-WINDOW = 1_024  # numbers behind the highest that may come late
-MOST_SENDERS = 20_000  # whose numbers are kept; beyond them the one heard longest ago goes
+MAC_BYTES = 16  # bytes
+MAX_DATAGRAM_BYTES = 1_400  # bytes of a datagram: within one packet of an Ethernet
+REPLAY_WINDOW = 1_024  # numbers behind the highest that may come late
+MAX_SENDERS = 20_000  # whose numbers are kept; beyond them the one heard longest ago goes
 
 
 class Frame(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
     sender: str
-    life: int
+    generation: int
     receiver: str  # "" where only an address is known
-    number: int
+    sequence: int
     message: Message | Post
 
 
@@ -32,61 +32,71 @@
 decode = msgspec.msgpack.Decoder(Frame).decode
 
 
-def seal(secret, text):
-    return hmac.digest(secret, text, "sha256")[:SEAL]
+def compute_mac(secret, payload):
+    return hmac.digest(secret, payload, "sha256")[:MAC_BYTES]
 
 
 def write(secret, *fields):
-    text = encode(Frame(*fields))
-    return seal(secret, text) + text
+    payload = encode(Frame(*fields))
+    return compute_mac(secret, payload) + payload
 
 
 def read(secret, data):
     """Frame, or Malformed."""
-    if len(data) > MOST:
-        raise Malformed(f"{len(data)} bytes, {MOST} at most")
-    return opened(decode, seal(secret, data[SEAL:]), data)
+    if len(data) > MAX_DATAGRAM_BYTES:
+        raise Malformed(f"{len(data)} bytes, {MAX_DATAGRAM_BYTES} at most")
+    return decode_sealed(decode, compute_mac(secret, data[MAC_BYTES:]), data)
 
 
-class Seen:
+class ReplayFilter:
     """Numbers that came of each process, so that none counts twice."""
 
     def __init__(self):
         self.rows = {}  # (sender, life) -> (highest, bits of those behind it)
 
-    def new(self, sender, life, number):
-        highest, bits = self.rows.pop((sender, life), (0, 0))
-        if number > highest:
-            bits = (bits << (number - highest) | 1) & ((1 << WINDOW) - 1) if number - highest < WINDOW else 1
-            highest, fresh = number, True
+    def accept(self, sender, generation, sequence):
+        highest, bits = self.rows.pop((sender, generation), (0, 0))
+        if sequence > highest:
+            bits = (
+                (bits << (sequence - highest) | 1) & ((1 << REPLAY_WINDOW) - 1)
+                if sequence - highest < REPLAY_WINDOW
+                else 1
+            )
+            highest, is_new = sequence, True
         else:
-            behind = highest - number
-            fresh = behind < WINDOW and not bits >> behind & 1
-            bits |= fresh << behind
-        self.rows[sender, life] = highest, bits
-        if len(self.rows) > MOST_SENDERS:
+            behind = highest - sequence
+            is_new = behind < REPLAY_WINDOW and not bits >> behind & 1
+            bits |= is_new << behind
+        self.rows[sender, generation] = highest, bits
+        if len(self.rows) > MAX_SENDERS:
             del self.rows[next(iter(self.rows))]
-        return fresh
+        return is_new
 
 
 class Datagrams(DatagramProtocol):
     """heard(sender, life, address, message) is called for each sound one."""
 
-    def __init__(self, reactor, name, secret, heard, count):
-        self.reactor, self.name, self.secret, self.heard, self.count = reactor, name, secret, heard, count
-        self.seen, self.sent, self.port = Seen(), 0, None
+    def __init__(self, reactor, name, secret, on_message, count):
+        self.reactor, self.name, self.secret, self.on_message, self.count = (
+            reactor,
+            name,
+            secret,
+            on_message,
+            count,
+        )
+        self.replays, self.sent_count, self.port = ReplayFilter(), 0, None
         self.cut_until = 0.0  # of the reactor's clock: a rehearsal
 
     def listen(self, host, port):
         """twisted's CannotListenError where it is taken."""
-        self.port = self.reactor.listenUDP(port, self, interface=host, maxPacketSize=MOST + 1)
+        self.port = self.reactor.listenUDP(port, self, interface=host, maxPacketSize=MAX_DATAGRAM_BYTES + 1)
 
-    def send(self, life, receiver, address, message):
+    def send(self, generation, receiver, address, message):
         if self.reactor.seconds() < self.cut_until:
             return
-        self.sent += 1
-        data = write(self.secret, self.name, life, receiver, self.sent, message)
-        if len(data) > MOST or self.transport is None:
+        self.sent_count += 1
+        data = write(self.secret, self.name, generation, receiver, self.sent_count, message)
+        if len(data) > MAX_DATAGRAM_BYTES or self.transport is None:
             self.count("datagrams_not_sent")
             return
         try:
@@ -103,10 +113,12 @@
         except Malformed:
             self.count("datagrams_refused")
             return
-        if frame.receiver not in ("", self.name) or not self.seen.new(frame.sender, frame.life, frame.number):
+        if frame.receiver not in ("", self.name) or not self.replays.accept(
+            frame.sender, frame.generation, frame.sequence
+        ):
             self.count("datagrams_refused")
             return
-        self.heard(frame.sender, frame.life, address, frame.message)
+        self.on_message(frame.sender, frame.generation, address, frame.message)
 
     def stop(self):
         if self.port is not None:
--- a/hookrouter/fleet/wire/post.py
+++ b/hookrouter/fleet/wire/post.py
@@ -8,17 +8,17 @@
 
 import msgspec
 
-MOST_POST = 1_150  # bytes in a datagram: with head and seal within the 1,400 of one
-MOST_PARCEL = 131_072  # bytes in a stream's frame
+MAX_POST_BYTES = 1_150  # bytes in a datagram: with head and seal within the 1,400 of one
+MAX_PARCEL_BYTES = 131_072  # bytes in a stream's frame
 
 Topic = Annotated[str, msgspec.Meta(min_length=1, max_length=16)]
 
 
 class Post(msgspec.Struct, tag=True, array_like=True, frozen=True):
     topic: Topic
-    data: Annotated[bytes, msgspec.Meta(max_length=MOST_POST)]
+    data: Annotated[bytes, msgspec.Meta(max_length=MAX_POST_BYTES)]
 
 
 class Parcel(msgspec.Struct, tag=True, array_like=True, frozen=True):
     topic: Topic
-    data: Annotated[bytes, msgspec.Meta(max_length=MOST_PARCEL)]
+    data: Annotated[bytes, msgspec.Meta(max_length=MAX_PARCEL_BYTES)]
--- a/hookrouter/fleet/wire/streams.py
+++ b/hookrouter/fleet/wire/streams.py
@@ -9,31 +9,33 @@
 from twisted.internet.protocol import Factory
 from twisted.protocols.basic import Int32StringReceiver
 
-from . import wire
+from . import frames
 
-CONNECT_WITHIN = 1.0  # seconds
-AGAIN = 0.2  # seconds between tries to connect to one member
-SILENT = 4.0  # seconds without a byte from the other side: cut without a word, it is opened anew
-UNKNOWN_WITHIN = 2.0  # seconds for a stranger's first sound frame
-MOST_WAITING = 4_000_000  # bytes in a stream's buffer: the reader hangs, and later frames say the same anew
-MOST_STREAMS = 4_096
-MOST_STRANGERS = 64  # streams that have not shown a sound frame yet
+CONNECT_TIMEOUT = 1.0  # seconds
+RECONNECT_DELAY = 0.2  # seconds between tries to connect to one member
+IDLE_TIMEOUT = 4.0  # seconds without a byte from the other side: cut without a word, it is opened anew
+HANDSHAKE_TIMEOUT = 2.0  # seconds for a stranger's first sound frame
+MAX_BUFFERED_BYTES = (
+    4_000_000  # bytes in a stream's buffer: the reader hangs, and later frames say the same anew
+)
+MAX_STREAMS = 4_096
+MAX_UNAUTHENTICATED = 64  # streams that have not shown a sound frame yet
 
 
 class Stream(Int32StringReceiver):
-    MAX_LENGTH = wire.MOST
+    MAX_LENGTH = frames.MAX_FRAME_BYTES
 
     def __init__(self, peers, name):
         self.peers, self.name = peers, name  # name: who is expected, or none where it came in
-        self.nonce, self.theirs = os.urandom(wire.NONCE), None
-        self.sent = self.seen = 0
-        self.heard_at, self.waiting, self.paused = peers.reactor.seconds(), [], False
+        self.nonce, self.peer_nonce = os.urandom(frames.NONCE_BYTES), None
+        self.sent_count = self.last_sequence = 0
+        self.last_received_at, self.pending, self.paused = peers.reactor.seconds(), [], False
 
     def connectionMade(self):
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
         self.sendString(self.nonce)
-        self.peers.opened(self)
+        self.peers.on_opened(self)
 
     # the transport's buffer is over its mark, or under it again
     def pauseProducing(self):
@@ -46,50 +48,54 @@
         pass
 
     def lengthLimitExceeded(self, length):
-        self.peers.refused(self, f"a frame of {length} bytes")
+        self.peers.reject(self, f"a frame of {length} bytes")
 
     def stringReceived(self, frame):
-        self.heard_at = self.peers.reactor.seconds()
-        if self.theirs is None:
-            if len(frame) != wire.NONCE:
-                self.peers.refused(self, "no nonce")
+        self.last_received_at = self.peers.reactor.seconds()
+        if self.peer_nonce is None:
+            if len(frame) != frames.NONCE_BYTES:
+                self.peers.reject(self, "no nonce")
                 return
-            self.theirs = frame
-            for message in self.waiting:
-                self.tell(message)
-            self.waiting = []
+            self.peer_nonce = frame
+            for message in self.pending:
+                self.send_message(message)
+            self.pending = []
             return
         try:
-            read = wire.read(self.peers.secret, self.nonce, frame)
-        except wire.Malformed as wrong:
-            self.peers.refused(self, str(wrong))
+            received = frames.read(self.peers.secret, self.nonce, frame)
+        except frames.Malformed as error:
+            self.peers.reject(self, str(error))
             return
         if (
-            read.number <= self.seen
-            or read.receiver != self.peers.name
-            or self.name not in (None, read.sender)
+            received.sequence <= self.last_sequence
+            or received.receiver != self.peers.name
+            or self.name not in (None, received.sender)
         ):
-            self.peers.refused(self, f"from {read.sender!r} for {read.receiver!r}, number {read.number}")
+            self.peers.reject(
+                self, f"from {received.sender!r} for {received.receiver!r}, number {received.sequence}"
+            )
             return
-        self.seen = read.number
+        self.last_sequence = received.sequence
         if self.name is None:
-            self.name = read.sender
-            self.peers.named(self)
-        if not self.peers.cut():
-            self.peers.heard(read.sender, read.message)
-
-    def tell(self, message):
-        if self.theirs is None:
-            if len(self.waiting) < 64:
-                self.waiting.append(message)
+            self.name = received.sender
+            self.peers.on_authenticated(self)
+        if not self.peers.is_cut():
+            self.peers.on_message(received.sender, received.message)
+
+    def send_message(self, message):
+        if self.peer_nonce is None:
+            if len(self.pending) < 64:
+                self.pending.append(message)
         elif not self.paused:
-            self.sent += 1
+            self.sent_count += 1
             self.sendString(
-                wire.write(self.peers.secret, self.theirs, self.peers.name, self.name, self.sent, message)
+                frames.write(
+                    self.peers.secret, self.peer_nonce, self.peers.name, self.name, self.sent_count, message
+                )
             )
 
     def connectionLost(self, reason):
-        self.peers.closed(self)
+        self.peers.on_closed(self)
 
 
 class Peers:
@@ -97,16 +103,16 @@
     listens; elsewhere(name): of others, or None.
     """
 
-    def __init__(self, reactor, name, addresses, secret, heard, log):
+    def __init__(self, reactor, name, addresses, secret, on_message, log):
         self.reactor, self.name, self.addresses = reactor, name, addresses
-        self.secret, self.heard, self.log = secret, heard, log
-        self.streams, self.calls, self.tried = (
+        self.secret, self.on_message, self.log = secret, on_message, log
+        self.streams, self.idle_timers, self.last_tried = (
             {},
             {},
             {},
         )  # name -> stream; stream -> its deadline; name -> when
-        self.connecting, self.port, self.stopped, self.strangers = set(), None, False, 0
-        self.elsewhere = lambda name: None
+        self.connecting, self.port, self.stopped, self.unauthenticated = set(), None, False, 0
+        self.find_address = lambda name: None
         self.cut_until = 0.0  # of the reactor's clock: a rehearsal
         self.factory = Factory.forProtocol(lambda: None)
         self.factory.buildProtocol = self._incoming
@@ -117,71 +123,75 @@
         self.port = self.reactor.listenTCP(port, self.factory, backlog=256, interface=host)
 
     def _incoming(self, address):
-        if self.strangers >= MOST_STRANGERS or len(self.calls) >= MOST_STREAMS:
+        if self.unauthenticated >= MAX_UNAUTHENTICATED or len(self.idle_timers) >= MAX_STREAMS:
             return None
-        self.strangers += 1
+        self.unauthenticated += 1
         return Stream(self, None)
 
-    def cut(self):
+    def is_cut(self):
         return self.reactor.seconds() < self.cut_until
 
-    def send(self, to, message):
-        if self.cut():
+    def send(self, receiver, message):
+        if self.is_cut():
             return
-        stream = self.streams.get(to)
+        stream = self.streams.get(receiver)
         if stream is not None:
-            stream.tell(message)
+            stream.send_message(message)
         else:
-            address = self.addresses.get(to) or self.elsewhere(to)
+            address = self.addresses.get(receiver) or self.find_address(receiver)
             if address is not None:
-                self._connect(to, address, message)
+                self._connect(receiver, address, message)
 
-    def _connect(self, to, address, message):
+    def _connect(self, receiver, address, message):
         now = self.reactor.seconds()
-        if self.stopped or to in self.connecting or now - self.tried.get(to, -AGAIN) < AGAIN:
+        if (
+            self.stopped
+            or receiver in self.connecting
+            or now - self.last_tried.get(receiver, -RECONNECT_DELAY) < RECONNECT_DELAY
+        ):
             return
-        self.tried[to] = now
-        self.connecting.add(to)
+        self.last_tried[receiver] = now
+        self.connecting.add(receiver)
         from twisted.internet.endpoints import TCP4ClientEndpoint
 
         host, port = address
-        factory = Factory.forProtocol(lambda: Stream(self, to))
+        factory = Factory.forProtocol(lambda: Stream(self, receiver))
         factory.noisy = False
-        made = TCP4ClientEndpoint(self.reactor, host, port, CONNECT_WITHIN).connect(factory)
-        made.addCallbacks(lambda stream: stream.tell(message), lambda failure: None)
-        made.addBoth(lambda _: self.connecting.discard(to))
+        connecting = TCP4ClientEndpoint(self.reactor, host, port, CONNECT_TIMEOUT).connect(factory)
+        connecting.addCallbacks(lambda stream: stream.send_message(message), lambda failure: None)
+        connecting.addBoth(lambda _: self.connecting.discard(receiver))
 
-    def opened(self, stream):
+    def on_opened(self, stream):
         if stream.name is not None:
             self.streams[stream.name] = stream
-        self.calls[stream] = self.reactor.callLater(
-            SILENT if stream.name else UNKNOWN_WITHIN, self._look, stream
+        self.idle_timers[stream] = self.reactor.callLater(
+            IDLE_TIMEOUT if stream.name else HANDSHAKE_TIMEOUT, self._check_idle, stream
         )
 
-    def named(self, stream):
-        self.strangers -= 1
+    def on_authenticated(self, stream):
+        self.unauthenticated -= 1
         if stream.name not in self.streams:
             self.streams[stream.name] = stream
 
-    def _look(self, stream):
-        if stream.name is None or self.reactor.seconds() - stream.heard_at >= SILENT:
-            self.calls.pop(stream, None)
+    def _check_idle(self, stream):
+        if stream.name is None or self.reactor.seconds() - stream.last_received_at >= IDLE_TIMEOUT:
+            self.idle_timers.pop(stream, None)
             stream.transport.abortConnection()
             return
         if self.streams.get(stream.name) is None:
             self.streams[stream.name] = stream
-        self.calls[stream] = self.reactor.callLater(SILENT / 2, self._look, stream)
+        self.idle_timers[stream] = self.reactor.callLater(IDLE_TIMEOUT / 2, self._check_idle, stream)
 
-    def refused(self, stream, why):
+    def reject(self, stream, why):
         self.log("frame refused", why, level="warn", peer=str(stream.transport.getPeer().host))
         stream.transport.abortConnection()
 
-    def closed(self, stream):
-        call = self.calls.pop(stream, None)
-        if call is not None and call.active():
-            call.cancel()
+    def on_closed(self, stream):
+        timer = self.idle_timers.pop(stream, None)
+        if timer is not None and timer.active():
+            timer.cancel()
         if stream.name is None:
-            self.strangers -= 1
+            self.unauthenticated -= 1
         elif self.streams.get(stream.name) is stream:
             del self.streams[stream.name]
 
@@ -189,5 +199,5 @@
         self.stopped = True
         if self.port is not None:
             self.port.stopListening()
-        for stream in list(self.calls):
+        for stream in list(self.idle_timers):
             stream.transport.abortConnection()
--- a/standins/hollow/sockets.py
+++ b/standins/hollow/sockets.py
@@ -120,7 +120,7 @@
         self._send, datagrams.send = datagrams.send, self._sending
         self._write, port.write = port.write, self._written
         self._take, datagrams.datagramReceived = datagrams.datagramReceived, self._came
-        self._heard, datagrams.heard = datagrams.heard, self._understood
+        self._heard, datagrams.on_message = datagrams.on_message, self._understood
 
     def _kind(self, message: Any) -> Exchanged:
         return self.traffic.sharing if isinstance(message, Post) else self.traffic.view
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -37,8 +37,8 @@
 def test_the_modules_names_of_errors_are_the_listed_classes_and_stay_value_errors():
     from hookrouter import site
     from hookrouter.feed import events
-    from hookrouter.fleet.member import asker
-    from hookrouter.fleet.wire import wire as member_wire
+    from hookrouter.fleet.member import command_stream
+    from hookrouter.fleet.wire import frames
     from hookrouter.parsers import http1, sse, thrift
     from hookrouter.purges import wire
     from hookrouter.trace import UnreadableTrace
@@ -50,7 +50,7 @@
         sse.Malformed,
         thrift.Malformed,
         wire.Malformed,
-        member_wire.Malformed,
+        frames.Malformed,
         UnreadableTrace,
         site.InvalidValue,
     )
@@ -60,7 +60,7 @@
     assert len({thrift.Malformed, http1.Malformed, sse.Malformed, wire.Malformed, Malformed}) == 5
     assert (
         issubclass(DamagedStore, UnusableStore)
-        and issubclass(asker.DutyLost, errors.HookrouterError)
+        and issubclass(command_stream.DutyLost, errors.HookrouterError)
         and site.InvalidSiteFile(["a:1: b"]).lines == ["a:1: b"]
     )
     assert not issubclass(UnusableStore, ValueError) and str(Malformed("x")) == "x"
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -140,13 +140,15 @@
             datagrams.read(secret, bytes(altered[: dice.randrange(1, len(data) + 1)]))
     text = datagrams.encode(["a", 7, "b", 9, ["Ping", -1, 5, []]])
     with pytest.raises(datagrams.Malformed):  # validly sealed, but no message
-        datagrams.read(secret, datagrams.seal(secret, text) + text)
+        datagrams.read(secret, datagrams.compute_mac(secret, text) + text)
     for order in permutations((1, 2, 3, 3)):
-        seen = datagrams.Seen()
-        assert sum(seen.new("a", 1, n) for n in order) == 3
-    seen = datagrams.Seen()
-    assert seen.new("a", 1, 5_000) and not seen.new("a", 1, 3_000) and seen.new("a", 1, 4_500)
-    assert not seen.new("a", 1, 4_500) and seen.new("a", 2, 1)
+        replays = datagrams.ReplayFilter()
+        assert sum(replays.accept("a", 1, n) for n in order) == 3
+    replays = datagrams.ReplayFilter()
+    assert (
+        replays.accept("a", 1, 5_000) and not replays.accept("a", 1, 3_000) and replays.accept("a", 1, 4_500)
+    )
+    assert not replays.accept("a", 1, 4_500) and replays.accept("a", 2, 1)
 
 
 # ---- real processes
--- a/tests/test_warming_member.py
+++ b/tests/test_warming_member.py
@@ -1,4 +1,4 @@
-"""Execution of a warming: no fill without a live warrant, what the router records, ends of fills."""
+"""Execution of a warming: no fill without a live lease, what the router records, ends of fills."""
 
 from types import SimpleNamespace
 
@@ -11,7 +11,7 @@
 from hookrouter.caches.errands import Ended, request
 from hookrouter.decisions.owners.holder import Lease
 from hookrouter.decisions.warming import messages
-from hookrouter.fleet.member.warmed import Warmed
+from hookrouter.fleet.member.warming_run import WarmingRun
 from hookrouter.node.heed import Heed
 
 NOW = 1_000_000
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def host():
-    """A router as Heed and Warmed use it, with the sends it made."""
+    """A router as Heed and WarmingRun use it, with the sends it made."""
     sent = []
     node = SimpleNamespace(
         terms=terms(),
@@ -48,27 +48,27 @@
         count=lambda name: None,
         section={"slots": 4, "lenders": 5, "room": None},
         sharing=SimpleNamespace(neighbours=lambda: []),
-        place=lambda cache: (1, 0),
-        closed=lambda warmed, state, cause: events.append((state, cause)),
+        cold_position=lambda cache: (1, 0),
+        on_closed=lambda run, state, cause: events.append((state, cause)),
     )
     host.heed.listed(SimpleNamespace(whole=False, caches=(cache("c9", born=NOW - SECOND),)), False)
-    return Warmed(warmer, "c9", Lease("warm.edge/c9", 7, until)), events
+    return WarmingRun(warmer, "c9", Lease("warm.edge/c9", 7, until)), events
 
 
 FILL = messages.Fill(("clip", "k1", 2), 1, 1_000, "c1", 7)
 
 
 def test_no_fill_is_sent_once_the_lease_is_over(host):
-    warmed, events = begun(host, until=500)
-    warmed._fill(FILL)
-    warmed.warmer.reactor.advance(0)
+    run, events = begun(host, until=500)
+    run._fill(FILL)
+    run.warmer.reactor.advance(0)
     assert host.sent == [] and events == [("given up", messages.LEASE_OVER)]
 
 
 def test_a_fill_carries_its_fencing_token_and_a_refusal_ends_the_warming(host):
-    warmed, events = begun(host, until=501)
-    warmed.table.state, warmed.table.in_flight = "warming", {FILL.name: object()}
-    warmed._fill(FILL)
+    run, events = begun(host, until=501)
+    run.table.state, run.table.in_flight = "warming", {FILL.name: object()}
+    run._fill(FILL)
     ((target, errand, deferred),) = host.sent
     assert (
         target == "c9"
@@ -81,11 +81,11 @@
 
 def test_a_warming_ends_when_its_cache_drains_or_leaves(host):
     for phase, cause in ((interface.DRAINING, messages.DRAINED), (interface.GONE, messages.CACHE_LEFT)):
-        warmed, events = begun(host, until=501)
+        run, events = begun(host, until=501)
         host.heed.listed(
             SimpleNamespace(whole=False, caches=(cache("c9", phase=phase, born=NOW - SECOND),)), False
         )
-        warmed.looked()
+        run.on_list_changed()
         assert events == [("given up", cause)]
 
 
