--- a/hookrouter/command/fleet/changing.py
+++ b/hookrouter/command/fleet/changing.py
@@ -5,7 +5,7 @@
 from ...errors.commands import FleetRefused, UsageError
 from .. import site_option
 from . import fleet
-from .asking import commanded, section_of
+from .queries import commanded, section_of
 
 
 @fleet.command()
@@ -31,7 +31,7 @@
         raise UsageError(f"{name} is no keeper; {', '.join(section['keepers'])} are")
     if any(not host.startswith("127.") for host, _ in section["keepers"].values()):
         raise UsageError("a drill is for a fleet on loopback; this one has other addresses")
-    from .rehearsal import rehearse
+    from .drill import rehearse
 
     if rehearse(section, name, fault, span):
         raise FleetRefused("the drill ended with duties that have no owner, or was not begun")
--- a/hookrouter/command/fleet/records.py
+++ b/hookrouter/command/fleet/records.py
@@ -9,7 +9,7 @@
 from .. import FAILED, sections_of, site_option
 from ..shown import table
 from . import fleet, json_option
-from .asking import ask, looked, section_of
+from .queries import ask, looked, section_of
 
 
 @fleet.command()
--- a/hookrouter/command/fleet/shared.py
+++ b/hookrouter/command/fleet/shared.py
@@ -6,7 +6,7 @@
 from .. import site_option
 from ..shown import table
 from . import fleet, json_option
-from .asking import ask, section_of
+from .queries import ask, section_of
 
 
 @fleet.command()
--- a/hookrouter/command/fleet/showing.py
+++ b/hookrouter/command/fleet/showing.py
@@ -9,7 +9,7 @@
 from .. import FAILED, site_option
 from ..shown import table
 from . import fleet, json_option
-from .asking import ask, leading, looked, section_of
+from .queries import ask, leading, looked, section_of
 
 
 @fleet.command()
