--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -7,7 +7,7 @@
 
 from hookrouter.lab import theory
 from hookrouter.lab.engine import Engine
-from hookrouter.lab.stations import Copies, Link, Queue
+from hookrouter.lab.stations import Link, LruCache, Queue
 
 
 def run(quick):
@@ -91,7 +91,7 @@
 def keeping(seed, count, objects=20_000, slots=1_000):
     weights = theory.zipf(objects, 0.9)
     names = np.random.default_rng(seed).choice(objects, count, p=weights).tolist()
-    copies, hits, warm = Copies(slots), 0, count // 5
+    copies, hits, warm = LruCache(slots), 0, count // 5
     for n, name in enumerate(names):
         if copies.find(name) is not None:
             hits += n >= warm
--- a/benchmarks/loss.py
+++ b/benchmarks/loss.py
@@ -103,7 +103,7 @@
     def __init__(self, seed, loss=(), crowd=(), make=Control, span=20):
         self.dice, self.engine, self.loss, self.crowd, self.span = Random(seed), Engine(), loss, crowd, span
         self.control = make(seed, terms())
-        self.origin = Queue(self.engine, CORES, most=300)
+        self.origin = Queue(self.engine, CORES, max_waiting=300)
         self.lookups, self.sends = {}, {}  # id -> (at, send's number); (id, send) -> wait
         self.counted = [[0, 0, 0] for _ in range(span + 10)]  # by second of arrival: asked, in budget, nacked
         self.gates, self.number = [[] for _ in range(span + 10)], 0
--- a/benchmarks/spread/caches.py
+++ b/benchmarks/spread/caches.py
@@ -1,7 +1,7 @@
 """Caches of the made-up world: a link that its transfers share, copies, fills that take a while."""
 
 from hookrouter import interface
-from hookrouter.lab.stations import Copies, Link
+from hookrouter.lab.stations import Link, LruCache
 
 FILL = 1_500  # 150 ms from the parent, before the copy's own sending
 NEAR = 5  # 0.5 ms on the way
@@ -14,7 +14,7 @@
 
     def __init__(self, engine, name, flow, weight, room):
         self.engine, self.name, self.weight = engine, name, weight
-        self.link, self.copies = Link(engine, flow * weight, flow), Copies(room)
+        self.link, self.copies = Link(engine, flow * weight, flow), LruCache(room)
         self.out = 0  # sends of all routers, from their leaving to their end
         self.arrived = []  # (when, router)
         self.hits = self.misses = 0
--- a/benchmarks/warming/location.py
+++ b/benchmarks/warming/location.py
@@ -10,7 +10,7 @@
 from hookrouter.decisions.warming.pace import ColdCapacity
 from hookrouter.decisions.warming.rank import hash_key, rank
 from hookrouter.lab.engine import Engine
-from hookrouter.lab.stations import Copies, Link
+from hookrouter.lab.stations import Link, LruCache
 from hookrouter.lab.theory import zipf
 
 FLOW = 0.5  # KB in a tenth of a millisecond: one transfer at full pace
@@ -28,7 +28,7 @@
     """A cache, a parent or the origin (which holds all)."""
 
     def __init__(self, engine, name, room, flows, born=None):
-        self.name, self.copies, self.flows, self.born = name, Copies(room), flows, born
+        self.name, self.copies, self.flows, self.born = name, LruCache(room), flows, born
         self.link = Link(engine, flows * FLOW, FLOW)
         self.window, self.fell, self.ready, self.pending = [], 0, True, {}
 
--- a/hookrouter/lab/__init__.py
+++ b/hookrouter/lab/__init__.py
@@ -1,6 +1,4 @@
-"""The lab: a model of two-tier caches in simulated time, for questions about scale and failure.
+"""A discrete-event simulation of two-tier caches, deterministic by seed, to study scale and failure.
 
-Discrete events, deterministic by seed. So far its stations stand, checked against queueing theory: queues,
-links that share their bandwidth, caches that keep what was asked for last. Fleets, faults and experiments
-are built on them.
+Its building blocks, checked against queueing theory, are queues, links with shared bandwidth and LRU caches.
 """
--- a/hookrouter/lab/engine.py
+++ b/hookrouter/lab/engine.py
@@ -1,23 +1,21 @@
-"""Simulated time: one heap of calls, each at its moment, those of one moment in the order in which they were
-asked for.
-"""
+"""Simulated time: a heap of scheduled calls; calls of the same time run in the order they were scheduled."""
 
 from heapq import heappop, heappush
 
 
 class Engine:
-    """Times are whole tenths of a millisecond; nothing here reads a clock or draws a number."""
+    """The event loop. Times are integers in tenths of a millisecond; it uses no clock and no randomness."""
 
     def __init__(self):
         self.now, self.count, self.heap, self.calls = 0, 0, [], 0
 
-    def after(self, span, call, *args):
-        """Calls that much later; a moment that is past counts as now."""
+    def after(self, delay, call, *args):
+        """Schedules a call after the delay; a negative delay counts as zero."""
         self.count += 1
-        heappush(self.heap, (self.now + max(0, span), self.count, call, args))
+        heappush(self.heap, (self.now + max(0, delay), self.count, call, args))
 
     def run(self, until):
-        """All calls up to then; the clock stands at it afterwards."""
+        """Runs all calls up to that time and sets the clock to it."""
         heap = self.heap
         while heap and heap[0][0] <= until:
             self.now, _, call, args = heappop(heap)
@@ -27,33 +25,35 @@
 
 
 class Tally:
-    """How many are inside, over time: for Little's law, and to find what never comes out."""
+    """Counts jobs in a system over time, to check Little's law and to find jobs that never leave."""
 
     def __init__(self, engine):
         self.engine = engine
-        self.inside = self.came = self.left = 0
-        self.area = self.stayed = self.since = 0
+        self.inside = self.arrived = self.left = 0
+        self.area = self.total_stay = self.changed_at = 0
 
-    def _move(self):
-        self.area += self.inside * (self.engine.now - self.since)
-        self.since = self.engine.now
+    def _advance(self):
+        self.area += self.inside * (self.engine.now - self.changed_at)
+        self.changed_at = self.engine.now
 
     def enter(self):
-        """The moment, to be given back at the end."""
-        self._move()
+        """Counts an arrival; returns its time, to be passed to leave()."""
+        self._advance()
         self.inside += 1
-        self.came += 1
+        self.arrived += 1
         return self.engine.now
 
-    def leave(self, entered):
-        self._move()
+    def leave(self, entered_at):
+        """Counts a departure."""
+        self._advance()
         self.inside -= 1
         self.left += 1
-        self.stayed += self.engine.now - entered
+        self.total_stay += self.engine.now - entered_at
 
     def little(self):
-        """(time spent inside by all, the integral of the number inside): the same once all have left (Little,
-        1961).
+        """Returns (total time spent inside, integral of the number inside).
+
+        They are equal once all have left (Little, 1961).
         """
-        self._move()
-        return self.stayed, self.area
+        self._advance()
+        return self.total_stay, self.area
--- a/hookrouter/lab/stations.py
+++ b/hookrouter/lab/stations.py
@@ -1,4 +1,4 @@
-"""Where a lookup spends its time: queues before cores, links that share bandwidth; and what a cache keeps."""
+"""Building blocks of the simulation: multi-core queues, links with shared bandwidth, and LRU caches."""
 
 from collections import OrderedDict, deque
 from heapq import heappop, heappush
@@ -6,20 +6,20 @@
 
 from .engine import Tally
 
-LEAST = 1e-6  # KB, or units of time: less is rounding, and the transfer is over
+EPSILON = 1e-6  # KB, or units of time; smaller remainders are rounding errors
 
 
 class Queue:
-    """So many cores, first come first served. most: that may wait; what comes beyond is refused."""
+    """A first-come-first-served queue for several cores; jobs beyond max_waiting are refused."""
 
-    def __init__(self, engine, cores, most=None):
-        self.engine, self.cores, self.most = engine, cores, most
+    def __init__(self, engine, cores, max_waiting=None):
+        self.engine, self.cores, self.max_waiting = engine, cores, max_waiting
         self.busy, self.waiting, self.waits = 0, deque(), []
         self.tally = Tally(engine)
 
     def take(self, work, done, *args):
-        """done(*args) after the wait and the work; False where there is no room to wait."""
-        if self.busy >= self.cores and self.most is not None and len(self.waiting) >= self.most:
+        """Calls done(*args) after the wait and the work; returns False if the queue is full."""
+        if self.busy >= self.cores and self.max_waiting is not None and len(self.waiting) >= self.max_waiting:
             return False
         job = (self.tally.enter(), work, done, args)
         if self.busy < self.cores:
@@ -42,18 +42,18 @@
 
 
 class Link:
-    """Bandwidth shared alike by all transfers, none faster than its own flow may be.
+    """Bandwidth shared equally by all transfers, each limited to its own maximum rate.
 
-    All have the same pace at any moment, so one sum of it (the virtual time of fair queueing, Parekh and
-    Gallager, 1993) says of each when it ends: a transfer that comes or goes costs a step in a heap, however
-    many there are.
+    All transfers have the same rate at any time, so its integral (the virtual time of fair queueing, Parekh
+    and Gallager, 1993) determines when each ends. Starting or ending a transfer costs one heap operation.
     """
 
     def __init__(self, engine, rate, flow=None):
-        """rate, flow: KB in a unit of time, of all and of one at most."""
+        """rate, flow: KB per unit of time, of all transfers together and of one at most."""
         self.engine, self.rate, self.flow = engine, rate, flow or rate
         self.virtual, self.since, self.count = 0.0, 0, 0
-        self.heap, self.gone, self.alarm = [], set(), 0  # (virtual end, number, size, entered, done, args)
+        # heap: (virtual end, number, size, entered, done, args)
+        self.heap, self.gone, self.alarm_number = [], set(), 0
         self.running = set()
         self.tally = Tally(engine)
         self.asked = self.carried = self.dropped = 0.0
@@ -66,86 +66,87 @@
         self.since = self.engine.now
 
     def carry(self, size, done, *args):
-        """A number to give it up by; done(*args) once all of it is over."""
+        """Starts a transfer; calls done(*args) at its end. Returns its number, for give_up()."""
         self._advance()
         self.count += 1
         self.asked += size
         heappush(self.heap, (self.virtual + size, self.count, size, self.tally.enter(), done, args))
         self.running.add(self.count)
-        self._set()
+        self._set_alarm()
         return self.count
 
     def give_up(self, number):
-        """What is left of it is not carried; does nothing for one that is over."""
+        """Aborts a transfer; does nothing for one that has ended."""
         if number not in self.running:
             return
         self._advance()
         self.running.remove(number)
         self.gone.add(number)
-        row = next(row for row in self.heap if row[1] == number)
-        left = max(0.0, row[0] - self.virtual)
-        self.dropped += left
-        self.carried += row[2] - left
-        self.tally.leave(row[3])
-        self._set()
-
-    def _set(self):
-        """One call is set for the next end; those set before are void."""
+        transfer = next(transfer for transfer in self.heap if transfer[1] == number)
+        remaining = max(0.0, transfer[0] - self.virtual)
+        self.dropped += remaining
+        self.carried += transfer[2] - remaining
+        self.tally.leave(transfer[3])
+        self._set_alarm()
+
+    def _set_alarm(self):
+        """Schedules a call for the next end; earlier scheduled ones become void."""
         while self.heap and self.heap[0][1] in self.gone:
             self.gone.remove(heappop(self.heap)[1])
-        self.alarm += 1
+        self.alarm_number += 1
         if self.heap:
-            left = max(0.0, self.heap[0][0] - self.virtual)
-            self.engine.after(ceil(left / self._pace() - LEAST), self._end, self.alarm)
+            remaining = max(0.0, self.heap[0][0] - self.virtual)
+            self.engine.after(ceil(remaining / self._pace() - EPSILON), self._end, self.alarm_number)
 
-    def _end(self, alarm):
-        if alarm != self.alarm:
+    def _end(self, alarm_number):
+        if alarm_number != self.alarm_number:
             return
         self._advance()
         ended = []
-        while self.heap and (self.heap[0][1] in self.gone or self.heap[0][0] <= self.virtual + LEAST):
-            row = heappop(self.heap)
-            if row[1] in self.gone:
-                self.gone.remove(row[1])
+        while self.heap and (self.heap[0][1] in self.gone or self.heap[0][0] <= self.virtual + EPSILON):
+            transfer = heappop(self.heap)
+            if transfer[1] in self.gone:
+                self.gone.remove(transfer[1])
                 continue
-            self.running.remove(row[1])
-            self.carried += row[2]
-            self.tally.leave(row[3])
-            ended.append(row)
-        self._set()
-        for row in ended:
-            row[4](*row[5])
+            self.running.remove(transfer[1])
+            self.carried += transfer[2]
+            self.tally.leave(transfer[3])
+            ended.append(transfer)
+        self._set_alarm()
+        for transfer in ended:
+            transfer[4](*transfer[5])
 
 
-class Copies:
-    """What a cache keeps: so many KB, least recently used goes first; each copy with the time it is of."""
+class LruCache:
+    """An LRU cache of so many KB; each copy has the time at which it was made."""
 
     def __init__(self, room):
         self.room, self.held, self.rows = room, 0.0, OrderedDict()  # name -> (size, made)
 
     def find(self, name, oldest=0):
-        """When this copy was made, or None where there is none, or none that is young enough."""
-        row = self.rows.get(name)
-        if row is None or row[1] < oldest:
+        """Returns when the copy was made, or None if there is none made at `oldest` or later."""
+        entry = self.rows.get(name)
+        if entry is None or entry[1] < oldest:
             return None
         self.rows.move_to_end(name)
-        return row[1]
+        return entry[1]
 
     def keep(self, name, size, made):
-        """Puts it in; what goes for it, as names."""
+        """Stores a copy; returns the names of the evicted ones."""
         if size > self.room:
             return []
         if name in self.rows:
             self.held -= self.rows.pop(name)[0]
         self.rows[name] = size, made
         self.held += size
-        gone = []
+        evicted = []
         while self.held > self.room:
-            old, (left, _) = self.rows.popitem(last=False)
-            self.held -= left
-            gone.append(old)
-        return gone
+            oldest_name, (oldest_size, _) = self.rows.popitem(last=False)
+            self.held -= oldest_size
+            evicted.append(oldest_name)
+        return evicted
 
     def flush(self):
+        """Removes all copies."""
         self.rows.clear()
         self.held = 0.0
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,27 +1,27 @@
-"""The lab's stations against queueing theory, and what goes in against what comes out."""
+"""The simulation's queues, links and caches against queueing theory; conservation of jobs and bytes."""
 
 import numpy as np
 import pytest
 
 from hookrouter.lab import theory
 from hookrouter.lab.engine import Engine
-from hookrouter.lab.stations import Copies, Link, Queue
+from hookrouter.lab.stations import Link, LruCache, Queue
 
 
 def arrivals(seed, rate, count):
-    """Spans between Poisson arrivals, whole units."""
+    """Times between Poisson arrivals, as integers."""
     return np.rint(np.random.default_rng(seed).exponential(1 / rate, count)).astype(int)
 
 
-def fed(engine, spans, arrive):
-    """Calls arrive(n) for each, one after the other, so that the heap holds the next one only."""
+def schedule_arrivals(engine, spans, arrive):
+    """Schedules arrive(n) for each span, one at a time, so that the heap holds only the next arrival."""
 
-    def come(n):
+    def next_arrival(n):
         arrive(n)
         if n + 1 < len(spans):
-            engine.after(int(spans[n + 1]), come, n + 1)
+            engine.after(int(spans[n + 1]), next_arrival, n + 1)
 
-    engine.after(int(spans[0]), come, 0)
+    engine.after(int(spans[0]), next_arrival, 0)
 
 
 @pytest.mark.parametrize("cores, load", [(1, 0.7), (4, 0.8), (16, 0.9)])
@@ -30,7 +30,7 @@
     rate = load * cores / work
     queue = Queue(engine, cores)
     jobs = np.rint(np.random.default_rng(7).exponential(work, count)).astype(int)
-    fed(engine, arrivals(3, rate, count), lambda n: queue.take(int(jobs[n]), lambda: None))
+    schedule_arrivals(engine, arrivals(3, rate, count), lambda n: queue.take(int(jobs[n]), lambda: None))
     engine.run(1 << 60)
     assert np.mean(queue.waits) == pytest.approx(theory.erlang_c_wait(rate, work, cores), rel=0.03)
     stayed, area = queue.tally.little()
@@ -40,15 +40,15 @@
 @pytest.mark.parametrize("shape", ("exponential", "even", "two sizes"))
 def test_stays_on_a_shared_link_are_those_of_processor_sharing_whatever_the_sizes(shape):
     engine, count, mean = Engine(), 120_000, 500.0
-    dice = np.random.default_rng(5)
+    generator = np.random.default_rng(5)
     sizes = {
-        "exponential": lambda: dice.exponential(mean, count),
+        "exponential": lambda: generator.exponential(mean, count),
         "even": lambda: np.full(count, mean),
-        "two sizes": lambda: dice.choice([mean * 0.1, mean * 4.6], count, p=[0.8, 0.2]),
+        "two sizes": lambda: generator.choice([mean * 0.1, mean * 4.6], count, p=[0.8, 0.2]),
     }[shape]()
     link = Link(engine, rate=1.0)
     rate = 0.7 / mean
-    fed(engine, arrivals(11, rate, count), lambda n: link.carry(float(sizes[n]), lambda: None))
+    schedule_arrivals(engine, arrivals(11, rate, count), lambda n: link.carry(float(sizes[n]), lambda: None))
     engine.run(1 << 60)
     stayed, area = link.tally.little()
     assert stayed / count == pytest.approx(theory.shared_stay(rate, mean), rel=0.03)
@@ -63,7 +63,7 @@
     def carry(name, size):
         return link.carry(size, lambda: ends.setdefault(name, engine.now))
 
-    carry("a", 100.0)  # alone at its own pace of 1
+    carry("a", 100.0)  # alone, at its maximum rate of 1
     engine.run(40)
     carry("b", 100.0)
     engine.run(60)  # both at 1; a has 40 left, b 80
@@ -93,24 +93,24 @@
 def test_hits_of_a_cache_are_ches(exponent, slots):
     weights = theory.zipf(20_000, exponent)
     names = np.random.default_rng(9).choice(len(weights), 300_000, p=weights)
-    copies, hits, warm = Copies(slots), 0, 50_000
+    cache, hits, warmup = LruCache(slots), 0, 50_000
     for n, name in enumerate(names):
-        found = copies.find(name)
-        hits += found is not None and n >= warm
+        found = cache.find(name)
+        hits += found is not None and n >= warmup
         if found is None:
-            copies.keep(name, 1.0, n)
-    assert hits / (len(names) - warm) == pytest.approx(theory.che_hits(weights, slots), abs=0.02)
-    assert copies.held == len(copies.rows) == slots
+            cache.keep(name, 1.0, n)
+    assert hits / (len(names) - warmup) == pytest.approx(theory.che_hits(weights, slots), abs=0.02)
+    assert cache.held == len(cache.rows) == slots
 
 
 def test_copies_have_an_age_and_a_room():
-    copies = Copies(10.0)
-    assert copies.keep("a", 6.0, 5) == [] and copies.keep("b", 4.0, 9) == []
-    assert copies.find("a", oldest=6) is None and copies.find("a", oldest=5) == 5
-    assert copies.keep("c", 3.0, 12) == ["b"] and copies.keep("d", 11.0, 12) == [] and copies.held == 9.0
-    assert copies.keep("a", 1.0, 20) == [] and copies.held == 4.0 and copies.find("a") == 20
-    copies.flush()
-    assert copies.held == 0.0 and copies.find("a") is None
+    cache = LruCache(10.0)
+    assert cache.keep("a", 6.0, 5) == [] and cache.keep("b", 4.0, 9) == []
+    assert cache.find("a", oldest=6) is None and cache.find("a", oldest=5) == 5
+    assert cache.keep("c", 3.0, 12) == ["b"] and cache.keep("d", 11.0, 12) == [] and cache.held == 9.0
+    assert cache.keep("a", 1.0, 20) == [] and cache.held == 4.0 and cache.find("a") == 20
+    cache.flush()
+    assert cache.held == 0.0 and cache.find("a") is None
 
 
 def test_the_same_calls_come_in_the_same_order_whatever_else_was_dropped():
@@ -124,7 +124,7 @@
 
 def test_a_full_queue_refuses_and_the_rest_comes_out():
     engine, done = Engine(), []
-    queue = Queue(engine, 2, most=3)
+    queue = Queue(engine, 2, max_waiting=3)
     assert [queue.take(10, done.append, n) for n in range(7)] == [True] * 5 + [False] * 2
     engine.run(100)
     assert done == [0, 1, 2, 3, 4] and queue.waits == [0, 0, 10, 10, 20]
