--- a/hookrouter/caches/connection.py
+++ b/hookrouter/caches/connection.py
@@ -18,7 +18,7 @@
         self.came = False  # something, by the newest read
         self.idle_since = 0.0
         self.last = None  # (kind, object, part) that was asked last, and what named the copy that came
-        self.answers = http1.Answers(self._on_head, self._on_body, self._on_end, errands.LONGEST_BODY)
+        self.answers = http1.ResponseParser(self._on_head, self._on_body, self._on_end, errands.LONGEST_BODY)
         self.head, self.pieces, self.length = None, [], 0
 
     def connectionMade(self):
--- a/hookrouter/caches/pool.py
+++ b/hookrouter/caches/pool.py
@@ -197,7 +197,7 @@
             send.ended = send.ended._replace(made=None)
         connection.send = send.connection = None
         connection.empty()
-        if head.keep and not connection.answers.buffer:
+        if head.keep_alive and not connection.answers.buffer:
             self._keep(connection)
         else:
             connection.close()
--- a/hookrouter/feed/caller.py
+++ b/hookrouter/feed/caller.py
@@ -13,7 +13,7 @@
 class Connection(Protocol):
     def __init__(self, caller):
         self.caller = caller
-        self.answers = http1.Answers(self._on_head, self._on_body, self._on_end, caller.longest)
+        self.answers = http1.ResponseParser(self._on_head, self._on_body, self._on_end, caller.longest)
         self.head, self.pieces = None, []
 
     def connectionMade(self):
@@ -98,7 +98,7 @@
 
     def answered(self, connection, head, body):
         if connection is self.connection:
-            if not head.keep:
+            if not head.keep_alive:
                 self._drop()
             self._end().callback((head.status, body))
 
--- a/hookrouter/feed/follower.py
+++ b/hookrouter/feed/follower.py
@@ -16,7 +16,7 @@
 class Stream(Protocol):
     def __init__(self, feed):
         self.feed, self.why = feed, None
-        self.answers = http1.Answers(
+        self.answers = http1.ResponseParser(
             self._on_head, self._on_body, self._on_end, LONGEST_STREAM, until_close=True
         )
         self.events = sse.Events()
--- a/hookrouter/front/calls.py
+++ b/hookrouter/front/calls.py
@@ -114,7 +114,7 @@
 NOT_GOOD = thrift.field(thrift.BOOL, 3) + b"\x00"
 BODY = thrift.field(thrift.STRUCT, 0) + thrift.field(thrift.STRING, 1)
 FIELDS = thrift.field(thrift.MAP, 2)
-NO_FIELDS = FIELDS + thrift.fields_of({})
+NO_FIELDS = FIELDS + thrift.string_map({})
 EMPTY = BODY + thrift.string(b"")
 
 
@@ -126,7 +126,7 @@
 
 def unchanged(name, seqid):
     return thrift.message(
-        thrift.REPLY, name, seqid, EMPTY + FIELDS + thrift.fields_of({"same": "1"}) + GOOD + END + END
+        thrift.REPLY, name, seqid, EMPTY + FIELDS + thrift.string_map({"same": "1"}) + GOOD + END + END
     )
 
 
@@ -144,7 +144,7 @@
         seqid,
         thrift.field(thrift.STRUCT, number)
         + thrift.field(thrift.MAP, 1)
-        + thrift.fields_of(fields)
+        + thrift.string_map(fields)
         + END
         + END,
     )
--- a/hookrouter/parsers/__init__.py
+++ b/hookrouter/parsers/__init__.py
@@ -1,1 +1,1 @@
-"""Bytes in, values out: each takes any split of its input and raises nothing but its one error."""
+"""Incremental parsers. Each accepts its input in arbitrary pieces and raises only its own Malformed error."""
--- a/hookrouter/parsers/thrift.py
+++ b/hookrouter/parsers/thrift.py
@@ -1,178 +1,195 @@
-"""Thrift in the framed transport and the strict binary protocol: frames, messages, structs, both ways.
+"""Thrift with framed transport and the strict binary protocol: reads and writes frames, messages and structs.
 
-Values come as Python's own: a struct is a dict from field number to value, a map a dict, text stays bytes.
+A struct is a dict from field number to value, a map is a dict; strings stay bytes.
 """
 
 from struct import Struct
 
 from ..errors.wire import MalformedThrift as Malformed
 
-VERSION = 0x80010000  # of the strict protocol, with the kind of message in the last byte
+VERSION = 0x80010000  # strict protocol; the last byte holds the message type
 CALL, REPLY, EXCEPTION, ONEWAY = 1, 2, 3, 4
 STOP, BOOL, BYTE, DOUBLE, I16, I32, I64 = 0, 2, 3, 4, 6, 8, 10
 STRING, STRUCT, MAP, SET, LIST = 11, 12, 13, 14, 15
-UNKNOWN_METHOD, INTERNAL_ERROR, PROTOCOL_ERROR = 1, 6, 7  # of an application exception
+UNKNOWN_METHOD, INTERNAL_ERROR, PROTOCOL_ERROR = 1, 6, 7  # types of TApplicationException
 
-DEEPEST = 8  # structs and containers in each other: the service's own calls nest two
-LONGEST_NAME = 64  # bytes of a method's name: the service's longest has nine
+MAX_DEPTH = 8  # nesting of structs and containers; the service's own calls use two levels
+LONGEST_NAME = 64  # bytes of a method name; the service's longest has nine
 
 BYTE_AT, SHORT_AT, INT_AT, LONG_AT, DOUBLE_AT = map(Struct, (">b", ">h", ">i", ">q", ">d"))
 FIELD_AT, MAP_AT, LIST_AT, HEAD_AT = Struct(">bh"), Struct(">bbi"), Struct(">bi"), Struct(">Ii")
 FIXED = {BOOL: BYTE_AT, BYTE: BYTE_AT, DOUBLE: DOUBLE_AT, I16: SHORT_AT, I32: INT_AT, I64: LONG_AT}
-LEAST = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I32: 4, I64: 8, STRING: 4, STRUCT: 1, MAP: 6, SET: 5, LIST: 5}
+MIN_SIZES = {
+    BOOL: 1,
+    BYTE: 1,
+    DOUBLE: 8,
+    I16: 2,
+    I32: 4,
+    I64: 8,
+    STRING: 4,
+    STRUCT: 1,
+    MAP: 6,
+    SET: 5,
+    LIST: 5,
+}
 
 
 class Frames:
-    """Cuts a stream into frames, none longer than told."""
+    """Splits a stream into frames of bounded length."""
 
     def __init__(self, longest):
         self.longest = longest
         self.buffer = bytearray()
 
     def feed(self, data):
-        """The frames that are whole now, in order. After Malformed the stream is lost."""
-        buffer, at = self.buffer, 0
+        """Takes received bytes and returns the completed frames; after Malformed the stream is unusable."""
+        buffer, offset = self.buffer, 0
         buffer += data
         frames = []
-        while len(buffer) - at >= 4:
-            length = INT_AT.unpack_from(buffer, at)[0]
+        while len(buffer) - offset >= 4:
+            length = INT_AT.unpack_from(buffer, offset)[0]
             if not 0 < length <= self.longest:
-                raise Malformed(f"a frame of {length} bytes, not of 1 to {self.longest}")
-            if len(buffer) - at - 4 < length:
+                raise Malformed(f"frame length {length} is not within 1 to {self.longest} bytes")
+            if len(buffer) - offset - 4 < length:
                 break
-            frames.append(bytes(memoryview(buffer)[at + 4 : at + 4 + length]))
-            at += 4 + length
-        if at:
-            del buffer[:at]
+            frames.append(bytes(memoryview(buffer)[offset + 4 : offset + 4 + length]))
+            offset += 4 + length
+        if offset:
+            del buffer[:offset]
         return frames
 
 
 class Message:
-    """One message of a frame: what is read of it first names it, the arguments come when asked for."""
+    """A message: its header is parsed at once, its arguments on request."""
 
-    __slots__ = ("kind", "name", "seqid", "frame", "at")
+    __slots__ = ("kind", "name", "seqid", "frame", "offset")
 
     def __init__(self, frame):
         if len(frame) < 8:
-            raise Malformed("a message cut short")
+            raise Malformed("truncated message")
         head, length = HEAD_AT.unpack_from(frame, 0)
         if head & 0xFFFF0000 != VERSION:
-            raise Malformed(f"version {head >> 16:#06x}, not strict binary")
+            raise Malformed(f"version {head >> 16:#06x}, not the strict binary protocol")
         if not 0 <= length <= LONGEST_NAME or len(frame) < 12 + length:
-            raise Malformed(f"a method's name of {length} bytes")
+            raise Malformed(f"invalid method name length {length}")
         self.kind, self.name = head & 0xFF, frame[8 : 8 + length]
         self.seqid = INT_AT.unpack_from(frame, 8 + length)[0]
-        self.frame, self.at = frame, 12 + length
+        self.frame, self.offset = frame, 12 + length
 
     def arguments(self):
-        """The struct after the head, which must fill the frame."""
-        values, at = read_value(self.frame, self.at, STRUCT, 0)
-        if at != len(self.frame):
-            raise Malformed(f"{len(self.frame) - at} bytes after the message")
+        """Parses the struct after the header, which must fill the frame."""
+        values, offset = read_value(self.frame, self.offset, STRUCT, 0)
+        if offset != len(self.frame):
+            raise Malformed(f"{len(self.frame) - offset} extra bytes after the message")
         return values
 
 
-def read_value(frame, at, kind, depth):
-    """One value at this place, and where the next begins."""
+def read_value(frame, offset, kind, depth):
+    """Returns the value at the offset, and the offset behind it."""
     fixed = FIXED.get(kind)
     if fixed is not None:
-        if at + fixed.size > len(frame):
-            raise Malformed("a number cut short")
-        value = fixed.unpack_from(frame, at)[0]
-        return (value != 0 if kind == BOOL else value), at + fixed.size
+        if offset + fixed.size > len(frame):
+            raise Malformed("truncated number")
+        value = fixed.unpack_from(frame, offset)[0]
+        return (value != 0 if kind == BOOL else value), offset + fixed.size
     if kind == STRING:
-        length, at = read_size(frame, at, 1)
-        return frame[at : at + length], at + length
-    if depth >= DEEPEST:
-        raise Malformed(f"nested more than {DEEPEST} deep")
+        length, offset = read_size(frame, offset, 1)
+        return frame[offset : offset + length], offset + length
+    if depth >= MAX_DEPTH:
+        raise Malformed(f"nested more than {MAX_DEPTH} levels deep")
     if kind == STRUCT:
-        return read_struct(frame, at, depth + 1)
+        return read_struct(frame, offset, depth + 1)
     if kind == MAP:
-        return read_map(frame, at, depth + 1)
+        return read_map(frame, offset, depth + 1)
     if kind in (SET, LIST):
-        return read_list(frame, at, depth + 1)
-    raise Malformed(f"a value of unknown type {kind}")
+        return read_list(frame, offset, depth + 1)
+    raise Malformed(f"unknown value type {kind}")
 
 
-def read_size(frame, at, least):
-    """A count of what follows, each of so many bytes at least; none beyond the frame passes."""
-    if at + 4 > len(frame):
-        raise Malformed("a length cut short")
-    count = INT_AT.unpack_from(frame, at)[0]
-    if not 0 <= count <= (len(frame) - at - 4) // least:
-        raise Malformed(f"a length of {count} beyond the frame")
-    return count, at + 4
+def read_size(frame, offset, min_size):
+    """Reads a count of elements of at least min_size bytes; raises Malformed if they exceed the frame."""
+    if offset + 4 > len(frame):
+        raise Malformed("truncated length")
+    count = INT_AT.unpack_from(frame, offset)[0]
+    if not 0 <= count <= (len(frame) - offset - 4) // min_size:
+        raise Malformed(f"count {count} exceeds the frame")
+    return count, offset + 4
 
 
-def read_struct(frame, at, depth):
+def read_struct(frame, offset, depth):
+    """Reads a struct as a dict by field number."""
     values = {}
     while True:
-        if at >= len(frame):
-            raise Malformed("a struct without an end")
-        if frame[at] == STOP:
-            return values, at + 1
-        if at + 3 > len(frame):
-            raise Malformed("a field cut short")
-        kind, number = FIELD_AT.unpack_from(frame, at)
-        values[number], at = read_value(frame, at + 3, kind, depth)
-
-
-def read_map(frame, at, depth):
-    if at + 6 > len(frame):
-        raise Malformed("a map cut short")
-    key_kind, value_kind, _ = MAP_AT.unpack_from(frame, at)
-    count, at = read_size(frame, at + 2, LEAST.get(key_kind, 1) + LEAST.get(value_kind, 1))
+        if offset >= len(frame):
+            raise Malformed("struct has no end")
+        if frame[offset] == STOP:
+            return values, offset + 1
+        if offset + 3 > len(frame):
+            raise Malformed("truncated field")
+        kind, number = FIELD_AT.unpack_from(frame, offset)
+        values[number], offset = read_value(frame, offset + 3, kind, depth)
+
+
+def read_map(frame, offset, depth):
+    """Reads a map as a dict."""
+    if offset + 6 > len(frame):
+        raise Malformed("truncated map")
+    key_kind, value_kind, _ = MAP_AT.unpack_from(frame, offset)
+    count, offset = read_size(frame, offset + 2, MIN_SIZES.get(key_kind, 1) + MIN_SIZES.get(value_kind, 1))
     if key_kind == value_kind == STRING:
-        return read_texts(frame, at, count)
+        return read_string_map(frame, offset, count)
     values = {}
     for _ in range(count):
-        key, at = read_value(frame, at, key_kind, depth)
-        value, at = read_value(frame, at, value_kind, depth)
+        key, offset = read_value(frame, offset, key_kind, depth)
+        value, offset = read_value(frame, offset, value_kind, depth)
         if isinstance(key, (dict, list)):
-            raise Malformed("a map by containers")
+            raise Malformed("map keys are containers")
         values[key] = value
-    return values, at
+    return values, offset
 
 
-def read_texts(frame, at, count):
-    """A map of text to text, as each call has one: in a loop of its own, in a third of the time."""
-    texts, size, unpack = [], len(frame) - 4, INT_AT.unpack_from
+def read_string_map(frame, offset, count):
+    """Reads a map of strings to strings, which each call has; a special loop takes a third of the time."""
+    strings, last_start, unpack = [], len(frame) - 4, INT_AT.unpack_from
     for _ in range(2 * count):
-        if at > size:
-            raise Malformed("a length cut short")
-        length = unpack(frame, at)[0]
-        if not 0 <= length <= size - at:
-            raise Malformed(f"a length of {length} beyond the frame")
-        at += 4 + length
-        texts.append(frame[at - length : at])
-    return dict(zip(texts[::2], texts[1::2])), at
-
-
-def read_list(frame, at, depth):
-    if at + 5 > len(frame):
-        raise Malformed("a list cut short")
-    kind = LIST_AT.unpack_from(frame, at)[0]
-    count, at = read_size(frame, at + 1, LEAST.get(kind, 1))
+        if offset > last_start:
+            raise Malformed("truncated length")
+        length = unpack(frame, offset)[0]
+        if not 0 <= length <= last_start - offset:
+            raise Malformed(f"length {length} exceeds the frame")
+        offset += 4 + length
+        strings.append(frame[offset - length : offset])
+    return dict(zip(strings[::2], strings[1::2])), offset
+
+
+def read_list(frame, offset, depth):
+    """Reads a list or set as a list."""
+    if offset + 5 > len(frame):
+        raise Malformed("truncated list")
+    kind = LIST_AT.unpack_from(frame, offset)[0]
+    count, offset = read_size(frame, offset + 1, MIN_SIZES.get(kind, 1))
     values = []
     for _ in range(count):
-        value, at = read_value(frame, at, kind, depth)
+        value, offset = read_value(frame, offset, kind, depth)
         values.append(value)
-    return values, at
+    return values, offset
 
 
-# ---- writing: pieces to be sent one after another, so that a body is never copied into them
+# ---- writing: returns pieces to be sent in order, so that bodies are not copied
 
 
 def field(kind, number):
+    """Encodes a field header."""
     return FIELD_AT.pack(kind, number)
 
 
 def string(value):
+    """Encodes bytes with their length."""
     return INT_AT.pack(len(value)) + value
 
 
-def fields_of(values):
-    """A map of text to text, as a value."""
+def string_map(values):
+    """Encodes a map of strings to strings."""
     pieces = [MAP_AT.pack(STRING, STRING, len(values))]
     for key, value in values.items():
         pieces += (string(key.encode()), string(value.encode()))
@@ -180,13 +197,14 @@
 
 
 def message(kind, name, seqid, *pieces):
-    """The pieces of one framed message whose struct is in pieces."""
+    """Returns the pieces of a framed message; pieces: its encoded struct."""
     head = HEAD_AT.pack(VERSION | kind, len(name)) + name + INT_AT.pack(seqid)
     length = len(head) + sum(map(len, pieces))
     return [INT_AT.pack(length) + head, *pieces]
 
 
 def application_exception(name, seqid, code, text):
+    """Returns the pieces of an exception reply; code: its TApplicationException type."""
     return message(
         EXCEPTION,
         name,
--- a/standins/crowd/talk.py
+++ b/standins/crowd/talk.py
@@ -64,7 +64,7 @@
         self.open[self.seqid] = lookup
         struct = (
             thrift.field(thrift.MAP, 1)
-            + thrift.fields_of(fields)
+            + thrift.string_map(fields)
             + thrift.field(thrift.STRING, 2)
             + thrift.string(b"w" * 100 if objects.KINDS[lookup.kind][1] else b"")
             + b"\x00"
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -420,7 +420,7 @@
         }
         struct = (
             thrift.field(thrift.MAP, 1)
-            + thrift.fields_of({k: v for k, v in given.items() if v is not None})
+            + thrift.string_map({k: v for k, v in given.items() if v is not None})
             + thrift.field(thrift.STRING, 2)
             + thrift.string(body)
         )
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -186,7 +186,7 @@
     wire = s.client()
     by_map = b"".join(
         thrift.message(
-            thrift.ONEWAY, b"interrupt", 0, thrift.field(thrift.MAP, 1) + thrift.fields_of({}), b"\x00"
+            thrift.ONEWAY, b"interrupt", 0, thrift.field(thrift.MAP, 1) + thrift.string_map({}), b"\x00"
         )
     )
     wire.come(by_map + message(0, b"interrupt", interrupted=1) + message(1))
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -1,4 +1,4 @@
-"""The parsers: the same values from any split, and nothing but their one error on whatever comes."""
+"""The parsers: independent of how the input is split; only their own Malformed error on any input."""
 
 from random import Random
 
@@ -15,28 +15,28 @@
             kind,
             name,
             seqid,
-            thrift.field(thrift.MAP, 1) + thrift.fields_of(FIELDS),
+            thrift.field(thrift.MAP, 1) + thrift.string_map(FIELDS),
             thrift.field(thrift.STRING, 2) + thrift.string(body),
             b"\x00",
         )
     )
 
 
-def pieces_of(dice, data):
-    """The same bytes in pieces of any length."""
+def split_randomly(random, data):
+    """Yields the bytes in pieces of random lengths."""
     at = 0
     while at < len(data):
-        size = dice.choice((1, 2, 3, 7, 50, 1000))
+        size = random.choice((1, 2, 3, 7, 50, 1000))
         yield data[at : at + size]
         at += size
 
 
-def garbled(dice, data):
-    """Some bytes changed, left out or put in."""
+def corrupt(random, data):
+    """Returns the bytes with random changes, deletions and insertions."""
     data = bytearray(data)
-    for _ in range(dice.randrange(1, 6)):
-        at = dice.randrange(len(data))
-        data[at : at + dice.randrange(3)] = bytes(dice.randrange(256) for _ in range(dice.randrange(3)))
+    for _ in range(random.randrange(1, 6)):
+        at = random.randrange(len(data))
+        data[at : at + random.randrange(3)] = bytes(random.randrange(256) for _ in range(random.randrange(3)))
     return bytes(data)
 
 
@@ -53,15 +53,15 @@
 
 
 def test_calls_are_the_same_in_any_split():
-    dice = Random(1)
+    random = Random(1)
     sent = b"".join(
-        call(n, body=bytes(dice.randrange(256) for _ in range(dice.randrange(3000)))) for n in range(1, 9)
+        call(n, body=bytes(random.randrange(256) for _ in range(random.randrange(3000)))) for n in range(1, 9)
     )
     whole = read_calls([sent])
     assert [row[2] for row in whole] == list(range(1, 9))
     assert whole[0][3][1] == {k.encode(): v.encode() for k, v in FIELDS.items()}
     for _ in range(50):
-        assert read_calls(pieces_of(dice, sent)) == whole
+        assert read_calls(split_randomly(random, sent)) == whole
 
 
 def test_every_kind_of_value_is_read_or_passed_over():
@@ -89,13 +89,13 @@
 
 
 def test_truncated_and_random_frames_raise_only_malformed():
-    dice, whole = Random(2), call()[4:]
+    random, whole = Random(2), call()[4:]
     for end in range(len(whole)):
         with pytest.raises(thrift.Malformed):
             thrift.Message(whole[:end]).arguments()
     for _ in range(3000):
         try:
-            read_calls([garbled(dice, call())])
+            read_calls([corrupt(random, call())])
         except thrift.Malformed:
             pass
 
@@ -136,8 +136,8 @@
 
 def read_answers(pieces, longest=1000, until_close=False):
     seen = []
-    answers = http1.Answers(
-        lambda a: seen.append([a.status, a.keep, b"", False]),
+    answers = http1.ResponseParser(
+        lambda a: seen.append([a.status, a.keep_alive, b"", False]),
         lambda piece: seen[-1].__setitem__(2, seen[-1][2] + piece),
         lambda: seen[-1].__setitem__(3, True),
         longest,
@@ -149,7 +149,7 @@
 
 
 def test_answers_are_the_same_in_any_split():
-    dice, whole = (
+    random, whole = (
         Random(3),
         [
             [200, True, b"hello", True],
@@ -162,14 +162,14 @@
     assert read_answers([ANSWERS]) == whole
     assert read_answers([ANSWERS[n : n + 1] for n in range(len(ANSWERS))]) == whole
     for _ in range(100):
-        assert read_answers(pieces_of(dice, ANSWERS)) == whole
+        assert read_answers(split_randomly(random, ANSWERS)) == whole
 
 
 def test_random_answers_raise_only_malformed():
-    dice = Random(4)
+    random = Random(4)
     for _ in range(3000):
         try:
-            read_answers(pieces_of(dice, garbled(dice, ANSWERS)))
+            read_answers(split_randomly(random, corrupt(random, ANSWERS)))
         except http1.Malformed:
             pass
 
@@ -199,7 +199,7 @@
 
 def test_a_body_in_one_piece_is_passed_on_as_it_came():
     piece, seen = bytes(1000), []
-    answers = http1.Answers(lambda a: None, seen.append, lambda: None, 1000)
+    answers = http1.ResponseParser(lambda a: None, seen.append, lambda: None, 1000)
     answers.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n")
     answers.feed(piece)
     assert seen[0] is piece
@@ -225,11 +225,11 @@
 
 
 def test_events_are_the_same_in_any_split():
-    dice, whole = Random(5), [(b"1", b'{"a":1}'), (b"2", b"x\ny"), (None, b"z")]
+    random, whole = Random(5), [(b"1", b'{"a":1}'), (b"2", b"x\ny"), (None, b"z")]
     assert sse.Events().feed(STREAM) == whole
     for _ in range(100):
         events = sse.Events()
-        assert [e for piece in pieces_of(dice, STREAM) for e in events.feed(piece)] == whole
+        assert [e for piece in split_randomly(random, STREAM) for e in events.feed(piece)] == whole
 
 
 def test_an_endless_line_or_event_is_malformed(monkeypatch):
