--- a/hookrouter/__main__.py
+++ b/hookrouter/__main__.py
@@ -1,4 +1,4 @@
-"""python -m hookrouter: the command line."""
+"""Entry point of python -m hookrouter."""
 
 import sys
 
@@ -6,12 +6,12 @@
 
 
 def main(arguments=None, signals=None):
+    """Runs the command line; returns the exit code."""
     from .command import main as run
 
     return run(arguments, signals)
 
 
 if __name__ == "__main__":
-    # Before all that takes time, the command line's own library too: no signal that comes meanwhile ends a
-    # router.
+    # Signal handlers are installed before the slow imports, so that no signal during them ends a router.
     sys.exit(main(signals=Signals() if sys.argv[1:2] == ["serve"] else None))
--- a/hookrouter/log.py
+++ b/hookrouter/log.py
@@ -1,71 +1,76 @@
-"""The log: lines on standard error, each kind so many at a time, with a count of what was left out.
+"""Logging to standard error, rate limited by kind of event, with a count of the omitted lines.
 
-As text for people, `hookrouter: KIND: DETAIL key=value`, or as one JSON object a line for what collects them.
+As text, `hookrouter: KIND: DETAIL key=value`, or as one JSON object per line.
 """
 
 import json
 import sys
 import time
 
-BURST = 5  # lines of a kind at once: enough to see what it is about
-LONGEST = 2_000  # characters of a detail: a stack trace of the module has some hundreds
-PERIOD = 10.0  # seconds until the next burst
+MAX_BURST = 5  # lines of one kind per period
+MAX_DETAIL = 2_000  # characters of a detail; stack traces of this package have some hundreds
+PERIOD = 10.0  # seconds
 TEXT, JSON = "text", "json"
 
 
 class Log:
-    def __init__(self, clock=time.monotonic, out=None, form=TEXT, wall=time.time):
-        self.clock, self.out, self.form, self.wall = clock, out, form, wall
-        self.kinds = {}  # kind -> [since when, lines, left out]
+    """A rate-limited logger; call it to log an event."""
+
+    def __init__(self, clock=time.monotonic, out=None, form=TEXT, wall_clock=time.time):
+        self.clock, self.out, self.form, self.wall_clock = clock, out, form, wall_clock
+        self.kinds = {}  # kind -> [start of its period, lines written, lines omitted]
 
     def __call__(self, kind, detail="", level="info", **values):
-        """kind is one of the texts of the operators' pages; detail and values may be anything but secrets."""
+        """kind: one of the event names in the operators' documentation; detail and values: no secrets."""
         now = self.clock()
-        row = self.kinds.setdefault(kind, [now, 0, 0])
-        if now - row[0] >= PERIOD:
-            self._tell(kind, row)
-            row[:] = [now, 0, 0]
-        if row[1] >= BURST:
-            row[2] += 1
+        state = self.kinds.setdefault(kind, [now, 0, 0])
+        if now - state[0] >= PERIOD:
+            self._report_dropped(kind, state)
+            state[:] = [now, 0, 0]
+        if state[1] >= MAX_BURST:
+            state[2] += 1
             return
-        row[1] += 1
-        self._write(kind, detail[:LONGEST], level, values)
+        state[1] += 1
+        self._write(kind, detail[:MAX_DETAIL], level, values)
 
-    def _tell(self, kind, row):
-        if row[2]:
-            self._write(kind, f"{row[2]} more left out", "info", {})
+    def _report_dropped(self, kind, state):
+        if state[2]:
+            self._write(kind, f"{state[2]} more left out", "info", {})
 
     def close(self):
-        for kind, row in self.kinds.items():
-            self._tell(kind, row)
+        """Logs the outstanding counts of omitted lines."""
+        for kind, state in self.kinds.items():
+            self._report_dropped(kind, state)
         self.kinds.clear()
 
     def plain(self, line):
-        """A line that was asked for: never left out."""
+        """Writes a requested line, exempt from the rate limit."""
         self._write(line, "", "info", {})
 
     def _write(self, kind, detail, level, values):
         try:
             print(
-                FORMS[self.form](self.wall, kind, detail, level, values),
+                FORMS[self.form](self.wall_clock, kind, detail, level, values),
                 file=self.out or sys.stderr,
                 flush=True,
             )
         except OSError:
-            pass  # nobody reads it any more: that must not keep the router from serving or ending
+            pass  # standard error is closed: the router must go on serving or shutting down
 
 
-def as_text(wall, kind, detail, level, values):
+def as_text(wall_clock, kind, detail, level, values):
+    """Formats a line for people."""
     pairs = " ".join(f"{key}={value}" for key, value in values.items())
-    said = " ".join(part for part in (detail, pairs) if part)
-    return f"hookrouter: {kind}: {said}" if said else f"hookrouter: {kind}"
+    text = " ".join(part for part in (detail, pairs) if part)
+    return f"hookrouter: {kind}: {text}" if text else f"hookrouter: {kind}"
 
 
-def as_json(wall, kind, detail, level, values):
-    row = {"event": kind, "level": level, "time": round(wall(), 3)}
+def as_json(wall_clock, kind, detail, level, values):
+    """Formats a line as a JSON object."""
+    fields = {"event": kind, "level": level, "time": round(wall_clock(), 3)}
     if detail:
-        row["detail"] = detail
-    return json.dumps({**row, **values}, default=str)
+        fields["detail"] = detail
+    return json.dumps({**fields, **values}, default=str)
 
 
 FORMS = {TEXT: as_text, JSON: as_json}
--- a/hookrouter/node/purging.py
+++ b/hookrouter/node/purging.py
@@ -14,7 +14,7 @@
 from ..purges.fence import CURRENT
 from ..purges.names import Kept
 from ..purges.tags import Listed, read_tags
-from ..site import follows, purge_terms
+from ..site import follow_addresses, purge_terms
 
 SLICE = 0.005  # seconds of purges taken in at a time: a snapshot of all takes seconds, lookups must not wait
 
@@ -24,7 +24,7 @@
     paced, that is with [admission].
     """
     feed = PurgeFeed(
-        reactor, deadlines, desk, follows(purges), purges, name, log, count, wall=wall, steady=steady
+        reactor, deadlines, desk, follow_addresses(purges), purges, name, log, count, wall=wall, steady=steady
     )
     if paced:
         feed.pace()
--- a/hookrouter/node/service.py
+++ b/hookrouter/node/service.py
@@ -7,7 +7,7 @@
 
 from ..errors.listening import ListenRefused
 from ..front import Listener
-from ..site import follows
+from ..site import follow_addresses
 from ..terms import SECOND, Malformed
 
 LAST_LOOKUPS = 0.7  # seconds after SIGTERM: connections come for 0.4, lookups for 0.2 more; 0.1 to spare
@@ -101,7 +101,7 @@
         )
         self.router.reload(start)
         if self.router.purges is not None and start.purges is not None:
-            self.router.purges.feed.move(follows(start.purges))
+            self.router.purges.feed.move(follow_addresses(start.purges))
 
     def stop(self):
         if self.router.stopping:
--- a/hookrouter/site/__init__.py
+++ b/hookrouter/site/__init__.py
@@ -1,6 +1,6 @@
-"""The operator's file: INI, each section and key known, each value with its unit, all faults in one pass.
+"""The operator's INI file: unknown sections and keys are errors, values have units, all errors are reported.
 
-A section that is not there is a feature that is off. Secrets are in files of their own that it names.
+A missing section means that the feature is off. Secrets are in separate files that it names.
 """
 
 from typing import Any
@@ -11,7 +11,7 @@
 from .sections import SECTIONS
 from .values import Address, Secret, address
 
-VARIABLE = "HOOKROUTER_SITE"  # of the environment: the path of the file, where no option names it
+VARIABLE = "HOOKROUTER_SITE"  # environment variable with the file's path, if no option names it
 
 __all__ = [
     "SECTIONS",
@@ -20,7 +20,7 @@
     "Secret",
     "InvalidValue",
     "address",
-    "follows",
+    "follow_addresses",
     "purge_terms",
     "read",
     "read_text",
@@ -28,7 +28,7 @@
 
 
 def purge_terms(purges: dict[str, Any]) -> types.PurgeTerms:
-    """The section [purges] as a router's PurgeTerms."""
+    """Converts the section [purges] to a router's PurgeTerms."""
     return types.PurgeTerms(
         lease=purges["lease"],
         hold=purges["hold"],
@@ -41,6 +41,6 @@
     )
 
 
-def follows(purges: dict[str, Any]) -> tuple[Address, ...]:
-    """Addresses of the section [purges] of which a router follows one at a time."""
+def follow_addresses(purges: dict[str, Any]) -> tuple[Address, ...]:
+    """Returns the addresses in the section [purges] of which a router follows one at a time."""
     return (purges["follow"],) if purges["follow"] else purges["desk"]
--- a/hookrouter/site/values.py
+++ b/hookrouter/site/values.py
@@ -1,4 +1,4 @@
-"""Readers of the values in the operator's file: from text to the program's units, or InvalidValue."""
+"""Readers of values in the operator's file: convert text to internal units, or raise InvalidValue."""
 
 import hmac
 import os
@@ -10,50 +10,59 @@
 from ..errors.site import InvalidValue
 from ..terms import SECOND, UNITS_PER_MS
 
-SPANS = {"ms": UNITS_PER_MS, "s": SECOND, "min": 60 * SECOND, "h": 3_600 * SECOND, "d": 86_400 * SECOND}
-SIZES = {"B": 1, "kB": 1_000, "MB": 1_000_000, "GB": 1_000_000_000}
-LEAST_SECRET = 16  # bytes: fewer can be guessed
-MOST_DESKS = 5  # as many as there are keepers
+DURATION_UNITS = {
+    "ms": UNITS_PER_MS,
+    "s": SECOND,
+    "min": 60 * SECOND,
+    "h": 3_600 * SECOND,
+    "d": 86_400 * SECOND,
+}
+SIZE_UNITS = {"B": 1, "kB": 1_000, "MB": 1_000_000, "GB": 1_000_000_000}
+MIN_SECRET_BYTES = 16  # shorter ones can be guessed
+MAX_DESKS = 5  # as many as there are keepers
 
 Address = tuple[str, int]
 Reader = Callable[[str, str], Any]  # (text of the value, folder of the file) -> value; raises InvalidValue
 
 
 def amount(units: Mapping[str, int], least: int, most: int, example: str) -> Reader:
-    """Reads a number with its unit, in whole units of the program, from least to most of them."""
+    """Returns a reader of a number with a unit, as an integer in internal units from least to most."""
     pattern = re.compile(r"(\d+(?:\.\d+)?)\s*([A-Za-z%]+)")
 
     def read(text: str, folder: str) -> int:
-        found = pattern.fullmatch(text)
-        if found is None or found[2] not in units:
+        match = pattern.fullmatch(text)
+        if match is None or match[2] not in units:
             raise InvalidValue(
                 f"{text!r} has no number and unit; wanted as in {example}, units {', '.join(units)}"
             )
-        value = round(float(found[1]) * units[found[2]])
+        value = round(float(match[1]) * units[match[2]])
         if not least <= value <= most:
             raise InvalidValue(
-                f"{text} is out of range; wanted is {shown(least, units)} to {shown(most, units)}"
+                f"{text} is out of range; wanted is {format_value(least, units)} "
+                f"to {format_value(most, units)}"
             )
         return value
 
     return read
 
 
-def shown(value: int, units: Mapping[str, int]) -> str:
-    """A value in the largest unit that it has one of, as an operator writes it."""
+def format_value(value: int, units: Mapping[str, int]) -> str:
+    """Formats a value in the largest unit that does not exceed it."""
     unit = max(
-        (u for u in units if units[u] <= max(1, value)), key=lambda u: units[u], default=next(iter(units))
+        (candidate for candidate in units if units[candidate] <= max(1, value)),
+        key=lambda candidate: units[candidate],
+        default=next(iter(units)),
     )
     return f"{value / units[unit]:g} {unit}"
 
 
-def span(least: int, most: int, example: str = "250 ms") -> Reader:
-    """Reads a span of time, in tenths of a millisecond."""
-    return amount(SPANS, least, most, example)
+def duration(least: int, most: int, example: str = "250 ms") -> Reader:
+    """Returns a reader of a duration, in tenths of a millisecond."""
+    return amount(DURATION_UNITS, least, most, example)
 
 
 def count(least: int, most: int) -> Reader:
-    """Reads a whole number."""
+    """Returns a reader of a whole number."""
 
     def read(text: str, folder: str) -> int:
         if not text.isdecimal() or not least <= int(text) <= most:
@@ -63,12 +72,12 @@
     return read
 
 
-def word(*words: str) -> Reader:
-    """Reads one of some words."""
+def choice(*choices: str) -> Reader:
+    """Returns a reader of one of several words."""
 
     def read(text: str, folder: str) -> str:
-        if text not in words:
-            raise InvalidValue(f"{text!r}; one of {', '.join(words)} is wanted")
+        if text not in choices:
+            raise InvalidValue(f"{text!r}; one of {', '.join(choices)} is wanted")
         return text
 
     return read
@@ -83,10 +92,10 @@
 
 
 def addresses(text: str, folder: str) -> tuple[Address, ...]:
-    """Reads one address, or several different ones separated by commas."""
+    """Reads one or several distinct addresses, separated by commas."""
     found = tuple(address(part.strip(), folder) for part in text.split(","))
-    if len(found) > MOST_DESKS or len(set(found)) != len(found):
-        raise InvalidValue(f"{text!r}; one address is wanted, or up to {MOST_DESKS} different ones")
+    if len(found) > MAX_DESKS or len(set(found)) != len(found):
+        raise InvalidValue(f"{text!r}; one address is wanted, or up to {MAX_DESKS} different ones")
     return found
 
 
@@ -94,8 +103,8 @@
     """Reads the names and addresses of three or five keepers, in order."""
     found = {}
     for part in text.split(","):
-        who, _, where = part.strip().partition(" ")
-        found[name(who.strip(), folder)] = address(where.strip(), folder)
+        keeper, _, location = part.strip().partition(" ")
+        found[name(keeper.strip(), folder)] = address(location.strip(), folder)
     different = len(set(found.values())) == len(found) == text.count(",") + 1
     if len(found) not in (3, 5) or not different:
         raise InvalidValue(
@@ -141,15 +150,15 @@
     try:
         with open(found, "rb") as opened:
             value = opened.read().strip()
-    except OSError as wrong:
-        raise InvalidValue(f"{found}: {wrong.strerror}") from None
-    if len(value) < LEAST_SECRET or not value.isascii() or b"\n" in value:
-        raise InvalidValue(f"{found}: one line of {LEAST_SECRET} characters of ASCII or more is wanted")
+    except OSError as error:
+        raise InvalidValue(f"{found}: {error.strerror}") from None
+    if len(value) < MIN_SECRET_BYTES or not value.isascii() or b"\n" in value:
+        raise InvalidValue(f"{found}: one line of {MIN_SECRET_BYTES} characters of ASCII or more is wanted")
     return Secret(value)
 
 
 class Secret:
-    """Bytes that no log, trace or print shows."""
+    """Secret bytes that repr() hides from logs, traces and prints."""
 
     __slots__ = ("value",)
 
@@ -162,5 +171,5 @@
         return isinstance(other, Secret) and hmac.compare_digest(self.value, other.value)
 
     def __repr__(self) -> str:
-        """A placeholder."""
+        """Returns a placeholder."""
         return "<secret>"
--- a/standins/followers.py
+++ b/standins/followers.py
@@ -17,7 +17,7 @@
 from hookrouter.purges.fence import CURRENT, Fence
 from hookrouter.purges.place import Place
 from hookrouter.purges.wire import MOST_IN_EVENT
-from hookrouter.site import follows, read
+from hookrouter.site import follow_addresses, read
 from hookrouter.tables.deadlines import Deadlines
 
 LOOK = 0.02  # seconds between looks whether each may answer
@@ -30,7 +30,14 @@
     def __init__(self, sections, name, history, dice, forget, rude, deadlines):
         purges = sections["purges"]
         super().__init__(
-            reactor, deadlines, self, follows(purges), purges, name, lambda *a, **k: None, lambda what: None
+            reactor,
+            deadlines,
+            self,
+            follow_addresses(purges),
+            purges,
+            name,
+            lambda *a, **k: None,
+            lambda what: None,
         )
         if "admission" in sections and not rude:
             self.pace()
