--- a/hookrouter/command/__init__.py
+++ b/hookrouter/command/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: sub-commands in groups, each loaded only when it is called."""
+"""The command line: groups of subcommands, each imported only when it is called."""
 
 import sys
 from importlib import import_module
@@ -7,7 +7,7 @@
 
 from ..errors import HookrouterError
 
-DONE, FAILED, WRONG = 0, 1, 2  # exit codes: done; it could not be done; wrong use or wrong input
+DONE, FAILED, WRONG = 0, 1, 2  # exit codes: success; failure; wrong usage or input
 
 # name -> (module, its command, one line of help)
 COMMANDS = {
@@ -20,8 +20,8 @@
 }
 
 
-class Late(click.Group):
-    """Knows its commands' names and help; imports one only to run it."""
+class LazyGroup(click.Group):
+    """A group that knows the names and help of its commands, and imports a command only to run it."""
 
     def list_commands(self, context):
         return list(COMMANDS)
@@ -37,7 +37,9 @@
             formatter.write_dl([(name, about) for name, (_, _, about) in COMMANDS.items()])
 
 
-@click.group(cls=Late, context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100})
+@click.group(
+    cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100}
+)
 def commands():
     """A traffic router for two-tier caches.
 
@@ -46,30 +48,30 @@
 
 
 def main(arguments=None, signals=None):
-    """Runs one command; its exit code. signals: what keeps signals since the start of the process."""
+    """Runs one command; returns its exit code. signals: has recorded signals since the process started."""
     try:
         commands.main(arguments, prog_name="hookrouter", obj=signals)
     except SystemExit as ended:
         return ended.code or DONE
-    except HookrouterError as wrong:
-        return ended_by(wrong)
-    except OSError as wrong:
+    except HookrouterError as error:
+        return ended_by(error)
+    except OSError as error:
         from ..errors.commands import SystemFailure
 
-        return ended_by(SystemFailure(wrong))
+        return ended_by(SystemFailure(error))
     return DONE
 
 
 def stop(code, line):
-    """Ends with one line, for what has no kind in hookrouter/errors/ yet."""
+    """Prints one line and exits, for errors without a class in hookrouter/errors/."""
     print(f"hookrouter: {line}", file=sys.stderr)
     raise SystemExit(code)
 
 
-def ended_by(trouble):
-    """Says what is wrong and what to do; the exit code."""
-    print(f"{trouble.prefix}{trouble.user_message()}", file=sys.stderr)
-    return trouble.exit_code
+def ended_by(error):
+    """Prints the error with what to do about it; returns the exit code."""
+    print(f"{error.prefix}{error.user_message()}", file=sys.stderr)
+    return error.exit_code
 
 
 site_option = click.option(
@@ -83,7 +85,7 @@
 
 
 def read_site(name):
-    """The sections of the operator's file, none without one; Refused names each fault."""
+    """Returns the sections of the operator's file, {} without a file; raises InvalidSiteFile."""
     if not name:
         return {}
     from ..site import read
@@ -91,21 +93,21 @@
     return read(name)
 
 
-def sections_of(site_file, *wanted):
-    """The sections of the operator's file, of which a command needs some."""
+def sections_of(site_file, *required):
+    """Returns the sections of the operator's file; raises MissingSection if a required one is missing."""
     from ..errors.site import MissingSection, SiteFileNotNamed
 
     if not site_file:
         raise SiteFileNotNamed("the operator's file is wanted: --site FILE or HOOKROUTER_SITE")
     sections = read_site(site_file)
-    for name in wanted:
+    for name in required:
         if name not in sections:
             raise MissingSection(f"{site_file}: there is no section [{name}]; it is needed for this command")
     return sections
 
 
 def tell_uncaught(log):
-    """What Twisted says, where something failed that nobody caught."""
+    """Passes errors that Twisted logs, such as uncaught exceptions, to the log."""
     from twisted.logger import LogLevel, formatEvent, globalLogBeginner
 
     def observe(event):
@@ -120,13 +122,13 @@
     globalLogBeginner.beginLoggingTo([observe], redirectStandardIO=False)
 
 
-def run_until(ending, reactor):
-    """Runs the reactor; SIGTERM and SIGINT call ending() in it."""
+def run_until(on_signal, reactor):
+    """Runs the reactor; SIGTERM and SIGINT call on_signal() in its thread."""
     import signal
 
-    def end(number, frame):
-        reactor.callFromThread(ending)
+    def handle_signal(number, frame):
+        reactor.callFromThread(on_signal)
 
-    signal.signal(signal.SIGTERM, end)
-    signal.signal(signal.SIGINT, end)
+    signal.signal(signal.SIGTERM, handle_signal)
+    signal.signal(signal.SIGINT, handle_signal)
     reactor.run(installSignalHandlers=False)
--- a/hookrouter/command/fleet/__init__.py
+++ b/hookrouter/command/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""fleet: run a member, and see and change who owns what."""
+"""The group fleet: runs a member; shows and changes the ownership of duties."""
 
 import click
 
@@ -13,7 +13,7 @@
     """
 
 
-from . import (  # noqa: E402, F401  each puts its commands into the group
+from . import (  # noqa: E402, F401  each registers its commands
     changing,
     records,
     running,
--- a/hookrouter/command/fleet/changing.py
+++ b/hookrouter/command/fleet/changing.py
@@ -1,11 +1,11 @@
-"""fleet drill, declare, hand-over, replace: what changes the fleet."""
+"""The commands fleet drill, declare, hand-over and replace, which change the fleet."""
 
 import click
 
 from ...errors.commands import FleetRefused, UsageError
 from .. import site_option
 from . import fleet
-from .queries import commanded, section_of
+from .queries import fleet_section, run_command
 
 
 @fleet.command()
@@ -26,14 +26,14 @@
 
     Example: hookrouter fleet drill k1 --fault stop --for 3 --site site.ini
     """
-    section = section_of(site_file)
+    section = fleet_section(site_file)
     if name not in section["keepers"]:
         raise UsageError(f"{name} is no keeper; {', '.join(section['keepers'])} are")
     if any(not host.startswith("127.") for host, _ in section["keepers"].values()):
         raise UsageError("a drill is for a fleet on loopback; this one has other addresses")
-    from .drill import rehearse
+    from .drill import run_drill
 
-    if rehearse(section, name, fault, span):
+    if run_drill(section, name, fault, span):
         raise FleetRefused("the drill ended with duties that have no owner, or was not begun")
 
 
@@ -45,7 +45,7 @@
 
     Example: hookrouter fleet declare drill/one --site site.ini
     """
-    answer = commanded(site_file, "declare", [duty])
+    answer = run_command(site_file, "declare", [duty])
     if answer[0] != "declared":
         raise FleetRefused(f"{duty}: {answer[0]}")
     print(f"{duty} is declared")
@@ -60,7 +60,7 @@
 
     Example: hookrouter fleet hand-over drill/one --to k2 --site site.ini
     """
-    answer = commanded(site_file, "hand-over", [duty, to])
+    answer = run_command(site_file, "hand-over", [duty, to])
     if answer[0] != "moving":
         raise FleetRefused(f"{duty}: {answer[0]}")
     print(f"{duty} goes to {answer[1]}")
@@ -77,7 +77,7 @@
     """
     if (add is None) == (strike is None):
         raise UsageError("one of --add NAME and --strike NAME is wanted")
-    answer = commanded(site_file, "replace", [add, strike])
+    answer = run_command(site_file, "replace", [add, strike])
     if answer[0] != "changing":
         raise FleetRefused(answer[0])
     print("the change is under way; hookrouter fleet status shows it")
--- a/hookrouter/command/fleet/drill.py
+++ b/hookrouter/command/fleet/drill.py
@@ -1,4 +1,4 @@
-"""fleet drill: one fault at a keeper on this machine, and what the others say of it, as it comes."""
+"""The drill behind fleet drill: injects a fault at a local keeper and prints what the others report."""
 
 import os
 import signal
@@ -6,115 +6,123 @@
 
 from .. import DONE, FAILED
 
-LOOK = 0.2  # seconds between looks
-BEFORE = 1.0  # seconds of looks before the fault
-AFTER = 5.0  # seconds of looks behind its end, at the least
+POLL_INTERVAL = 0.2  # seconds between polls of the keepers
+SECONDS_BEFORE = 1.0  # of polling before the fault
+SECONDS_AFTER = 5.0  # of polling after the end of the fault, at least
 
 
-class Watch:
-    """What is known of the fleet, and a line for each change."""
+class DrillMonitor:
+    """Tracks the state of the fleet and prints a line for each change."""
 
     def __init__(self, keepers):
-        self.keepers, self.began, self.owned = keepers, time.monotonic(), {}
-        self.heard_at, self.pids, self.said = {}, {}, {}
+        self.keepers, self.started_at, self.owned = keepers, time.monotonic(), {}
+        self.last_answer_at, self.pids, self.reported = {}, {}, {}
 
-    def line(self, text):
-        print(f"{time.monotonic() - self.began:6.1f} s  {text}", flush=True)
+    def report(self, text):
+        """Prints a line with the time since the start."""
+        print(f"{time.monotonic() - self.started_at:6.1f} s  {text}", flush=True)
 
-    def note(self, what, value):
-        """A line where it is another than before."""
-        if self.said.get(what) != value:
-            self.said[what] = value
-            self.line(f"{what}: {value}")
+    def report_change(self, what, value):
+        """Prints the value if it has changed."""
+        if self.reported.get(what) != value:
+            self.reported[what] = value
+            self.report(f"{what}: {value}")
 
-    def heard(self, name, found):
+    def on_answer(self, name, answer):
+        """Takes a keeper's status or its view of the members."""
         now = time.monotonic()
-        self.heard_at[name] = now
-        if "pid" in found:
-            self.pids[name] = found["pid"]
+        self.last_answer_at[name] = now
+        if "pid" in answer:
+            self.pids[name] = answer["pid"]
             states = {}
-            for row in found["members"]:
+            for row in answer["members"]:
                 states[row[0]] = row[7] if states.get(row[0]) != "alive" else "alive"
-            self.note(f"{name} sees", ", ".join(f"{who} {state}" for who, state in sorted(states.items())))
+            self.report_change(
+                f"{name} sees",
+                ", ".join(f"{member} {state}" for member, state in sorted(states.items())),
+            )
             return
-        if found["state"] == "leading":
-            self.note("leader", f"{name}, term {found['term']}")
-            for duty, owner, number, _, left in found["duties"]:
-                self.note(
+        if answer["state"] == "leading":
+            self.report_change("leader", f"{name}, term {answer['term']}")
+            for duty, owner, number, _, left in answer["duties"]:
+                self.report_change(
                     f"duty {duty}",
                     f"{(owner or 'nobody').partition('#')[0]}, number {number}"
                     + ("" if left else ", lease over"),
                 )
                 self.owned[duty] = bool(owner and left)
 
-    def look(self):
+    def report_silent(self):
+        """Prints which keepers started or stopped answering."""
         now = time.monotonic()
         for name in self.keepers:
-            quiet = now - self.heard_at.get(name, self.began) > 4 * LOOK
-            self.note(f"{name} answers", "no" if quiet else "yes")
+            silent = now - self.last_answer_at.get(name, self.started_at) > 4 * POLL_INTERVAL
+            self.report_change(f"{name} answers", "no" if silent else "yes")
 
 
-def rehearse(section, name, fault, span):
-    """The exit code: 0 where every duty has an owner at the end."""
+def run_drill(section, name, fault, duration):
+    """Runs the drill; returns the exit code, 0 if every duty has an owner at the end."""
     from twisted.internet import reactor, task
 
     from ...decisions.owners import protocol
     from ...fleet.wire import Peers
 
-    watch, count, life = Watch(list(section["keepers"])), [0], int(time.time() * 1_000)
-    who = f"drill-{os.getpid()}"
+    monitor, key_count, generation = DrillMonitor(list(section["keepers"])), [0], int(time.time() * 1_000)
+    client_name = f"drill-{os.getpid()}"
 
-    def heard(sender, message):
+    def on_message(sender, message):
         if isinstance(message, protocol.Answer) and isinstance(message.result, dict):
-            watch.heard(sender, message.result)
+            monitor.on_answer(sender, message.result)
         elif isinstance(message, protocol.Answer) and isinstance(message.result, list):
-            watch.line(f"{sender} says: {message.result[0]}")
+            monitor.report(f"{sender} says: {message.result[0]}")
 
     keepers = dict(section["keepers"])
-    peers = Peers(reactor, who, keepers, section["secret"].value, heard, lambda *a, **k: None)
+    peers = Peers(reactor, client_name, keepers, section["secret"].value, on_message, lambda *a, **k: None)
 
-    def key():
-        count[0] += 1
-        return f"{who}#{life}/{count[0]}"
+    def next_key():
+        key_count[0] += 1
+        return f"{client_name}#{generation}/{key_count[0]}"
 
-    def look():
+    def poll():
         for keeper in section["keepers"]:
-            peers.send(keeper, protocol.StatusRequest(key()))
-            peers.send(keeper, protocol.RosterRequest(key()))
-        watch.look()
+            peers.send(keeper, protocol.StatusRequest(next_key()))
+            peers.send(keeper, protocol.RosterRequest(next_key()))
+        monitor.report_silent()
 
-    def strike():
-        pid = watch.pids.get(name)
+    def inject_fault():
+        pid = monitor.pids.get(name)
         if pid is None:
-            watch.line(f"{name} does not answer: nothing was done")
+            monitor.report(f"{name} does not answer: nothing was done")
             reactor.stop()
             return
-        watch.line(f"--- {name}: {fault}" + ("" if fault == "kill" else f" for {span:g} s"))
+        monitor.report(f"--- {name}: {fault}" + ("" if fault == "kill" else f" for {duration:g} s"))
         if fault == "cut":
-            peers.send(name, protocol.DrillRequest(key(), int(span * 10_000)))
+            peers.send(name, protocol.DrillRequest(next_key(), int(duration * 10_000)))
             return
         try:
             os.kill(pid, signal.SIGKILL if fault == "kill" else signal.SIGSTOP)
-        except (ProcessLookupError, PermissionError) as wrong:
-            watch.line(f"{name}, process {pid}: {wrong.strerror}")
+        except (ProcessLookupError, PermissionError) as error:
+            monitor.report(f"{name}, process {pid}: {error.strerror}")
             return
         if fault == "stop":
-            reactor.callLater(span, resume, pid)
+            reactor.callLater(duration, resume, pid)
 
     def resume(pid):
-        watch.line(f"--- {name} goes on")
+        monitor.report(f"--- {name} goes on")
         try:
             os.kill(pid, signal.SIGCONT)
         except ProcessLookupError:
-            watch.line(f"{name} has ended meanwhile")
+            monitor.report(f"{name} has ended meanwhile")
 
-    task.LoopingCall(look).start(LOOK)
-    reactor.callLater(BEFORE, strike)
-    reactor.callLater(BEFORE + (span if fault != "kill" else 0) + max(AFTER, span), reactor.stop)
+    task.LoopingCall(poll).start(POLL_INTERVAL)
+    reactor.callLater(SECONDS_BEFORE, inject_fault)
+    reactor.callLater(
+        SECONDS_BEFORE + (duration if fault != "kill" else 0) + max(SECONDS_AFTER, duration), reactor.stop
+    )
     reactor.run()
-    without = sorted(duty for duty, owned in watch.owned.items() if not owned)
-    if without:
-        watch.line(f"without an owner: {', '.join(without)}")
+    unowned = sorted(duty for duty, owned in monitor.owned.items() if not owned)
+    if unowned:
+        monitor.report(f"without an owner: {', '.join(unowned)}")
     if fault == "kill":
-        watch.line(f"{name} is down; start it again")
-    return FAILED if without or not watch.pids else DONE
+        monitor.report(f"{name} is down; start it again")
+    return FAILED if unowned or not monitor.pids else DONE
--- a/hookrouter/command/fleet/records.py
+++ b/hookrouter/command/fleet/records.py
@@ -1,4 +1,4 @@
-"""fleet compare, verify, import: copies of records, and the files that hold them."""
+"""The commands fleet compare, verify and import, for copies of records and their files."""
 
 import json
 import os
@@ -9,7 +9,7 @@
 from .. import FAILED, sections_of, site_option
 from ..shown import table
 from . import fleet, json_option
-from .queries import ask, looked, section_of
+from .queries import fleet_section, query_keepers, query_status
 
 
 @fleet.command()
@@ -20,29 +20,30 @@
 
     Example: hookrouter fleet compare --site site.ini
     """
-    section = section_of(site_file)
-    found = looked(section)
-    rows = compared(found, list(section["keepers"]))
+    section = fleet_section(site_file)
+    found = query_status(section)
+    rows = compare_copies(found, list(section["keepers"]))
     if as_json:
         names = ("duty", "keeper", "state", "newest", "floor", "seal", "rule")
         print(json.dumps([dict(zip(names, row)) for row in rows]))
     else:
         table(("duty", "keeper", "state", "newest", "floor", "seal", "rule"), rows)
-    if rows and all(row[6] == SAME for row in rows):
+    if rows and all(row[6] == AGREED for row in rows):
         return
-    if as_json:  # it says so itself
+    if as_json:  # the JSON says so
         raise SystemExit(FAILED)
     if not found:
         raise KeepersUnreachable("no keeper answers")
     raise CopiesDiffer("not all copies are as agreed" if rows else "no keeper keeps records")
 
 
-SAME = "as agreed"
+AGREED = "as agreed"
 
 
-def compared(found, keepers):
-    """A row for each keeper and order of records; found: what `look` gave. The log's seal says what is right,
-    where it speaks of the number that the copy ends at.
+def compare_copies(found, keepers):
+    """Returns a row for each duty and keeper; found: {keeper: status}.
+
+    A copy is compared with the seal in the log that belongs to the last number of the copy.
     """
     agreed = {}
     for row in found.values():
@@ -50,24 +51,24 @@
             agreed.setdefault(duty, {})[newest] = seal
     rows = []
     for duty, seals in sorted(agreed.items()):
-        most = max(seals)
+        newest_agreed = max(seals)
         for name in keepers:
             copy = next((copy for copy in found.get(name, {}).get("copies", ()) if copy[0] == duty), None)
             if copy is None:
-                why = "keeps no copy: give it [purges] and [desk]"
-                why = why if name in found else "does not answer: start it"
-                rows.append((duty, name, "", "", "", "", why))
+                rule = "keeps no copy: give it [purges] and [desk]"
+                rule = rule if name in found else "does not answer: start it"
+                rows.append((duty, name, "", "", "", "", rule))
                 continue
             _, state, newest, floor, seal = copy
             if seals.get(newest, seal) != seal:
-                why = "differs from what is agreed: it is put away and filled anew at its next start"
+                rule = "differs from what is agreed: it is put away and filled anew at its next start"
             elif state == "broken":
-                why = "cannot be written: make room, it opens itself again"
-            elif state == "lacking" or newest < most:
-                why = f"lacks {most - newest}: it fetches them, and owns nothing meanwhile"
+                rule = "cannot be written: make room, it opens itself again"
+            elif state == "lacking" or newest < newest_agreed:
+                rule = f"lacks {newest_agreed - newest}: it fetches them, and owns nothing meanwhile"
             else:
-                why = SAME
-            rows.append((duty, name, state, newest, floor, seal, why))
+                rule = AGREED
+            rows.append((duty, name, state, newest, floor, seal, rule))
     return rows
 
 
@@ -86,7 +87,7 @@
     store = sections["fleet"]["store"]
     if store is None:
         raise MissingSection("this member is no keeper: it has no files")
-    wrong, held = [], False
+    problems, locked = [], False
     for path in (store, sections.get("desk", {}).get("store")):
         if path is None:
             continue
@@ -97,24 +98,24 @@
             if path == store:
                 log = KeeperLog(path, sections["fleet"]["name"])
                 found = log.load()
-                last, doubt = found.base + len(found.entries), found.integrity_error
+                last, integrity_error = found.base + len(found.entries), found.integrity_error
                 print(f"{path}: entries up to {last}, term {found.term}, written {found.write_count} times")
-                wrong += [f"{path}: {doubt}"] if doubt else []
+                problems += [f"{path}: {integrity_error}"] if integrity_error else []
             else:
                 log = PurgeLog(path, must_exist=True)
                 sound, faults = log.verify()
                 print(f"{path}: {sound} purges are sound")
-                wrong += faults
+                problems += faults
             log.close()
-        except UnusableStore as why:
-            wrong.append(str(why))
-            held |= isinstance(why, LockedStore)
-    for line in wrong:
+        except UnusableStore as error:
+            problems.append(str(error))
+            locked |= isinstance(error, LockedStore)
+    for line in problems:
         print(line)
-    if wrong:
+    if problems:
         raise (
             LockedStore("end the keeper before its files are looked at")
-            if held
+            if locked
             else DamagedStore(
                 "start the keeper: what is damaged is put away or set aside, and comes from the others"
             )
@@ -123,7 +124,7 @@
 
 @fleet.command("import")
 @site_option
-def take_over(site_file):
+def import_purges(site_file):
     """Go on with the order of a desk of its own: its store was put in place as one keeper's [desk] store.
 
     Only before the fleet has taken a purge of its own; numbers and keys stay as they are.
@@ -132,29 +133,36 @@
     """
     from ...decisions.owners import protocol
 
-    wrong, held = [], []
+    problems, adopted = [], []
 
-    def decide(found, who, life):
-        if any(row[2] for each in found.values() for row in each["orders"]):
-            wrong.append("the fleet has an order of purges already; a second one cannot be gone on with")
+    def choose_copy(found, client_name, generation):
+        if any(row[2] for status in found.values() for row in status["orders"]):
+            problems.append("the fleet has an order of purges already; a second one cannot be gone on with")
             return None
-        copies = [(name, copy) for name, each in found.items() for copy in each["copies"] if copy[2]]
+        copies = [(name, copy) for name, status in found.items() for copy in status["copies"] if copy[2]]
         if len(copies) != 1:
-            wrong.append(
+            problems.append(
                 f"{len(copies)} keepers hold a store with purges, one is wanted: put the store in "
                 "place as its [desk] store while that keeper is down, and start it"
             )
             return None
         ((name, (duty, _, newest, _, seal)),) = copies
-        held.extend((name, newest))
-        return protocol.CommandRequest(f"{who}#{life}/2", "adopt", [duty, life, newest, bytes.fromhex(seal)])
+        adopted.extend((name, newest))
+        return protocol.CommandRequest(
+            f"{client_name}#{generation}/2", "adopt", [duty, generation, newest, bytes.fromhex(seal)]
+        )
 
-    section = section_of(site_file)
-    answers = ask(section, lambda who, life: protocol.StatusRequest(f"{who}#{life}/1"), True, decide)
-    if wrong:
-        raise UsageError(wrong[0])
+    section = fleet_section(site_file)
+    answers = query_keepers(
+        section,
+        lambda client_name, generation: protocol.StatusRequest(f"{client_name}#{generation}/1"),
+        True,
+        choose_copy,
+    )
+    if problems:
+        raise UsageError(problems[0])
     answer = answers.get("answer")
     if answer is None or answer[0] != "adopted":
         raise FleetRefused(f"not taken over: {'no keeper took it' if answer is None else answer[0]}")
-    name, newest = held
+    name, newest = adopted
     print(f"{newest} purges of {name} are the fleet's; hookrouter fleet compare shows when all have them")
--- a/hookrouter/command/fleet/running.py
+++ b/hookrouter/command/fleet/running.py
@@ -1,10 +1,10 @@
-"""fleet serve: a member runs."""
+"""The command fleet serve, which runs a member."""
 
 from ...errors.listening import ListenRefused
 from .. import run_until, sections_of, site_option, tell_uncaught
 from . import fleet
 
-LEAVE_FOR = 0.2  # seconds in which others are told that a member ends
+LEAVE_DELAY = 0.2  # seconds for the messages that this member leaves
 
 
 @fleet.command()
@@ -27,17 +27,17 @@
     member = Member(reactor, log, sections)
     try:
         member.start()
-    except CannotListenError as wrong:
+    except CannotListenError as error:
         member.end()
-        raise ListenRefused(f"cannot listen: {wrong}") from None
+        raise ListenRefused(f"cannot listen: {error}") from None
 
-    def ending():
+    def shut_down():
         if not member.holder.leaving:
             log("stopping")
             member.leave()
-            reactor.callLater(LEAVE_FOR, member.end)
-            reactor.callLater(LEAVE_FOR + 0.1, reactor.stop)
+            reactor.callLater(LEAVE_DELAY, member.end)
+            reactor.callLater(LEAVE_DELAY + 0.1, reactor.stop)
 
     log("member serves", name=member.name, keeper=member.keeper is not None)
-    run_until(ending, reactor)
+    run_until(shut_down, reactor)
     log.close()
--- a/hookrouter/command/fleet/shared.py
+++ b/hookrouter/command/fleet/shared.py
@@ -1,4 +1,4 @@
-"""fleet shared: what the keepers that route have been told of loads."""
+"""The command fleet shared: the loads known to the keepers that serve lookups."""
 
 import json
 
@@ -6,7 +6,7 @@
 from .. import site_option
 from ..shown import table
 from . import fleet, json_option
-from .queries import ask, section_of
+from .queries import fleet_section, query_keepers
 
 
 @fleet.command()
@@ -20,7 +20,11 @@
     """
     from ...decisions.owners import protocol
 
-    found = ask(section_of(site_file), lambda who, life: protocol.RosterRequest(f"{who}#{life}/1"), True)
+    found = query_keepers(
+        fleet_section(site_file),
+        lambda client_name, generation: protocol.RosterRequest(f"{client_name}#{generation}/1"),
+        True,
+    )
     rows = {name: row["shared"] for name, row in sorted(found.items()) if "shared" in row}
     if not rows:
         raise KeepersUnreachable(
--- a/hookrouter/command/fleet/showing.py
+++ b/hookrouter/command/fleet/showing.py
@@ -1,4 +1,4 @@
-"""fleet status, members, explain, owners: what the keepers say of the fleet."""
+"""The commands fleet status, members, explain and owners: the keepers' views of the fleet."""
 
 import json
 import time
@@ -9,7 +9,7 @@
 from .. import FAILED, site_option
 from ..shown import table
 from . import fleet, json_option
-from .queries import ask, leading, looked, section_of
+from .queries import find_leader, fleet_section, query_keepers, query_status
 
 
 @fleet.command()
@@ -20,14 +20,14 @@
 
     Example: hookrouter fleet status --site site.ini
     """
-    section = section_of(site_file)
-    found = looked(section)
-    leader = leading(found)
-    wrong = [f"{name} does not answer" for name in section["keepers"] if name not in found]
-    wrong += [f"{name}: {row['aside']}" for name, row in found.items() if row["aside"]]
-    wrong += [f"{name} cannot write its store" for name, row in found.items() if row["state"] == "broken"]
+    section = fleet_section(site_file)
+    found = query_status(section)
+    leader = find_leader(found)
+    problems = [f"{name} does not answer" for name in section["keepers"] if name not in found]
+    problems += [f"{name}: {row['aside']}" for name, row in found.items() if row["aside"]]
+    problems += [f"{name} cannot write its store" for name, row in found.items() if row["state"] == "broken"]
     if leader is not None:
-        wrong += [f"{row[0]} has no owner" for row in leader["duties"] if row[1] is None or not row[4]]
+        problems += [f"{row[0]} has no owner" for row in leader["duties"] if row[1] is None or not row[4]]
     if as_json:
         print(
             json.dumps(
@@ -35,7 +35,7 @@
                     "leader": leader and leader["keeper"],
                     "term": leader and leader["term"],
                     "keepers": found,
-                    "wrong": wrong,
+                    "wrong": problems,
                 }
             )
         )
@@ -47,7 +47,7 @@
             if leader
             else f"no leader: {answer}, duties stand still"
         )
-        for line in wrong:
+        for line in problems:
             print(line)
     if leader is None:
         raise SystemExit(FAILED) if as_json else KeepersUnreachable("no keeper leads")
@@ -65,37 +65,41 @@
     """
     from ...decisions.owners import protocol
 
-    section = section_of(site_file)
+    section = fleet_section(site_file)
     if watch:
-        # A reactor runs once in a process: each look is a command of its own.
+        # A reactor runs only once in a process, so each poll is a command of its own.
         import subprocess
         import sys
 
         try:
             while True:
-                again = [sys.executable, "-m", "hookrouter", "fleet", "members", "--site", site_file]
-                again += ["--json"] if as_json else []
-                print(subprocess.run(again, capture_output=True, text=True).stdout, flush=True)
+                command = [sys.executable, "-m", "hookrouter", "fleet", "members", "--site", site_file]
+                command += ["--json"] if as_json else []
+                print(subprocess.run(command, capture_output=True, text=True).stdout, flush=True)
                 time.sleep(1)
         except KeyboardInterrupt:
             return
-    found = ask(section, lambda who, life: protocol.RosterRequest(f"{who}#{life}/1"), True)
+    found = query_keepers(
+        section, lambda client_name, generation: protocol.RosterRequest(f"{client_name}#{generation}/1"), True
+    )
     if not found:
         raise KeepersUnreachable("no keeper answers")
     if as_json:
         print(json.dumps(found))
         return
     for name, row in sorted(found.items()):
-        said = "not settled" if row["settled_ms"] is None else f"settled for {row['settled_ms'] / 1000:.1f} s"
+        settled = (
+            "not settled" if row["settled_ms"] is None else f"settled for {row['settled_ms'] / 1000:.1f} s"
+        )
         print(
-            f"{name}: {row['alive']} members, {said}, view {row['digest']}"
+            f"{name}: {row['alive']} members, {settled}, view {row['digest']}"
             + (f", slow itself ({row['slow_itself']})" if row["slow_itself"] else "")
             + "".join(f", another process named {twin}" for twin in row["twins"])
         )
-    best = max(found.values(), key=lambda row: row["alive"])
+    fullest = max(found.values(), key=lambda row: row["alive"])
     table(
         ("member", "state", "zone", "role", "address", "version", "incarnation", "life"),
-        [(row[0], row[7], row[3], row[4], row[2], row[5], row[6], row[1]) for row in best["members"]],
+        [(row[0], row[7], row[3], row[4], row[2], row[5], row[6], row[1]) for row in fullest["members"]],
     )
 
 
@@ -110,10 +114,14 @@
     """
     from ...decisions.owners import protocol
 
-    found = ask(
-        section_of(site_file), lambda who, life: protocol.RosterRequest(f"{who}#{life}/1", name), True
+    found = query_keepers(
+        fleet_section(site_file),
+        lambda client_name, generation: protocol.RosterRequest(f"{client_name}#{generation}/1", name),
+        True,
+    )
+    rows = sorted(
+        (wall_ms, reporter, *rest) for reporter, history in found.items() for wall_ms, *rest in history
     )
-    rows = sorted((at, teller, *rest) for teller, told in found.items() for at, *rest in told)
     if not rows:
         raise KeepersUnreachable(f"no keeper has heard of {name}" if found else "no keeper answers")
     if as_json:
@@ -143,7 +151,7 @@
 
     Example: hookrouter fleet owners --site site.ini --json
     """
-    leader = leading(looked(section_of(site_file)))
+    leader = find_leader(query_status(fleet_section(site_file)))
     if leader is None:
         raise KeepersUnreachable("no keeper leads; hookrouter fleet status says why")
     rows = leader["duties"]
--- a/hookrouter/command/purges/__init__.py
+++ b/hookrouter/command/purges/__init__.py
@@ -1,4 +1,4 @@
-"""purges: the desk, relays, submitting, and what is in effect."""
+"""The group purges: runs desk and relays, submits purges and shows which are in effect."""
 
 import click
 
@@ -11,7 +11,7 @@
     """
 
 
-from . import (  # noqa: E402, F401  each puts its commands into the group
+from . import (  # noqa: E402, F401  each registers its commands
     serving,
     showing,
     submitting,
--- a/hookrouter/command/purges/serving.py
+++ b/hookrouter/command/purges/serving.py
@@ -1,11 +1,11 @@
-"""The processes: the desk of purges and its relays."""
+"""The commands purges serve and relay, which run the purge desk and its relays."""
 
 from .. import run_until, sections_of, site_option, tell_uncaught
 from . import purges
 
 
-def run(make, listen, secret, submits, log):
-    """Listens, runs until SIGTERM or SIGINT, and ends with the exit code."""
+def run(make_desk, listen, secret, takes_purges, log):
+    """Listens and runs until SIGTERM or SIGINT; raises ListenRefused."""
     from twisted.internet import reactor
     from twisted.internet.error import CannotListenError
 
@@ -13,16 +13,16 @@
     from ...errors.listening import ListenRefused
 
     tell_uncaught(log)
-    desk = make(reactor)
+    desk = make_desk(reactor)
     host, port = listen
     try:
-        port = reactor.listenTCP(port, site(desk, secret, submits), backlog=512, interface=host)
-    except CannotListenError as wrong:
+        port = reactor.listenTCP(port, site(desk, secret, takes_purges), backlog=512, interface=host)
+    except CannotListenError as error:
         desk.stop()
-        desk.store.end() if submits else None
-        raise ListenRefused(f"cannot listen: {wrong}") from None
+        desk.store.end() if takes_purges else None
+        raise ListenRefused(f"cannot listen: {error}") from None
 
-    def ending():
+    def shut_down():
         if not desk.stopped:
             log("stopping")
             port.stopListening()
@@ -35,7 +35,7 @@
         epoch=desk.tail.epoch,
         newest=desk.tail.newest.n,
     )
-    run_until(ending, reactor)
+    run_until(shut_down, reactor)
     log.close()
 
 
@@ -54,7 +54,7 @@
 
     log = Log(form=sections.get("log", {}).get("format", "text"))
 
-    def made(reactor):
+    def make_desk(reactor):
         store = LocalStore(reactor, sections["desk"]["store"], sections["purges"])
         try:
             desk = Desk(reactor, log, sections["purges"], sections["desk"], store, store.read(0))
@@ -63,7 +63,7 @@
             store.end()
             raise
 
-    run(made, sections["desk"]["listen"], sections["purges"]["secret"], True, log)
+    run(make_desk, sections["desk"]["listen"], sections["purges"]["secret"], True, log)
 
 
 @purges.command()
@@ -81,10 +81,10 @@
 
     log = Log(form=sections.get("log", {}).get("format", "text"))
 
-    def made(reactor):
-        row = Relay(
+    def make_desk(reactor):
+        relay_desk = Relay(
             reactor, Deadlines(reactor), log, sections["purges"], sections["relay"], "admission" in sections
         )
-        return paced(row, sections, sections["relay"]["name"], log)
+        return paced(relay_desk, sections, sections["relay"]["name"], log)
 
-    run(made, sections["relay"]["listen"], sections["purges"]["secret"], False, log)
+    run(make_desk, sections["relay"]["listen"], sections["purges"]["secret"], False, log)
--- a/hookrouter/command/purges/showing.py
+++ b/hookrouter/command/purges/showing.py
@@ -1,4 +1,4 @@
-"""purges status and list: what is in effect, and who is behind."""
+"""The commands purges status and list: which purges are in effect, and which members are behind."""
 
 import json
 import sys
@@ -9,8 +9,8 @@
 from .. import sections_of, site_option
 from ..shown import table
 from . import purges
-from .calls import Desk, good
-from .formats import behind, clock, dated
+from .calls import Desk, require_ok
+from .formats import format_behind, format_time, format_timestamp
 
 
 @purges.command()
@@ -33,20 +33,22 @@
 
         try:
             address = read_address(at, "")
-        except InvalidValue as wrong:
-            raise UsageError(f"--at: {wrong}") from None
+        except InvalidValue as error:
+            raise UsageError(f"--at: {error}") from None
     desk = Desk(sections, address)
-    facts = good(desk.call("GET", f"/v1/purges/{number}" if number else "/v1/status"))
+    facts = require_ok(desk.call("GET", f"/v1/purges/{number}" if number else "/v1/status"))
     if as_json:
         print(json.dumps(facts))
     elif number:
         print(
             f"{facts['number']}: {facts['sort']} {facts['what']}, by {facts['key']}, "
-            f"accepted {clock(facts['accepted_ms'])}, "
+            f"accepted {format_time(facts['accepted_ms'])}, "
             + (
-                f"in effect since {clock(facts['in_effect_ms'])}{' at the latest' if facts['by'] else ''}"
+                f"in effect since {format_time(facts['in_effect_ms'])}"
+                f"{' at the latest' if facts['by'] else ''}"
                 if facts["in_effect_ms"]
-                else f"in effect by {clock(facts['latest_ms'])} at the latest, behind: {behind(facts)}"
+                else f"in effect by {format_time(facts['latest_ms'])} at the latest, "
+                f"behind: {format_behind(facts)}"
             )
         )
     else:
@@ -74,12 +76,12 @@
 @site_option
 @click.option("--last", type=click.IntRange(1, 1_000), default=20, help="So many of the newest.")
 @click.option("--json", "as_json", is_flag=True, help="One JSON object on standard output.")
-def newest(site_file, last, as_json):
+def list_purges(site_file, last, as_json):
     """The newest purges, by whom, and from when each is in effect: those of before a restart too.
 
     Example: hookrouter purges list --site site.ini --last 5
     """
-    found = good(Desk(sections_of(site_file, "purges")).call("GET", f"/v1/purges?last={last}"))
+    found = require_ok(Desk(sections_of(site_file, "purges")).call("GET", f"/v1/purges?last={last}"))
     rows, more = found["purges"], found["of"] - len(found["purges"])
     if as_json:
         print(json.dumps({"purges": rows, "of": found["of"]}))
@@ -91,8 +93,8 @@
                 row["number"],
                 f"{row['sort']} {row['what']}",
                 row["key"],
-                dated(row["accepted_ms"]),
-                ("by " if row["by"] else "") + clock(row["in_effect_ms"])
+                format_timestamp(row["accepted_ms"]),
+                ("by " if row["by"] else "") + format_time(row["in_effect_ms"])
                 if row["in_effect_ms"]
                 else "not yet",
                 row["in_effect_ms"] - row["accepted_ms"] if row["in_effect_ms"] else "",
--- a/hookrouter/command/purges/submitting.py
+++ b/hookrouter/command/purges/submitting.py
@@ -1,4 +1,4 @@
-"""purges submit: what is purged, by options or from a file, and the wait until it is in effect."""
+"""The command purges submit: purges given by options or a file, optionally waiting until in effect."""
 
 import getpass
 import json
@@ -13,15 +13,16 @@
 from ...errors.commands import FileUnavailable, InvalidInput, PurgeNotInEffect, UsageError
 from .. import sections_of, site_option
 from . import purges
-from .calls import Desk, good
-from .formats import behind, clock, shortened
+from .calls import Desk, require_ok
+from .formats import format_behind, format_time, number_range
 
-LOOK = 0.05  # seconds between two looks whether a purge is in effect
+POLL_INTERVAL = 0.05  # seconds between checks whether a purge is in effect
 
 KINDS = ("object", "group", "tag", "prefix", "glob", "regex")
 
 
-def options(command):
+def kind_options(command):
+    """Adds an option for each kind of purge."""
     for kind in reversed(KINDS):
         example = {
             "object": "7f3a9c21e0b4d655",
@@ -37,7 +38,7 @@
 
 @purges.command()
 @site_option
-@options
+@kind_options
 @click.option("--pattern", multiple=True, metavar="GLOB", help="The same as --glob.")
 @click.option("--from-file", metavar="FILE", help="A purge a line: SORT NAME; - for standard input.")
 @click.option("--everything", is_flag=True, help="A pattern may match every name.")
@@ -57,14 +58,14 @@
     sections = sections_of(site_file, "purges")
     items = [{"sort": kind, "what": what} for kind in KINDS for what in kinds[kind]]
     items += [{"sort": "glob", "what": what} for what in pattern]
-    items += listed(from_file) if from_file else []
+    items += read_items(from_file) if from_file else []
     if not items:
         raise UsageError("nothing to purge; name an object, group, tag or pattern (see --help)")
     desk = Desk(sections)
-    body = {"key": key or made_up_key(), "purges": items, "everything": everything}
-    accepted = good(desk.call("POST", "/v1/purges", body))
+    body = {"key": key or generate_key(), "purges": items, "everything": everything}
+    accepted = require_ok(desk.call("POST", "/v1/purges", body))
     numbers = [row["number"] for row in accepted["purges"]]
-    facts = waited(desk, numbers, span, as_json) if wait else None
+    facts = wait_until_in_effect(desk, numbers, span, as_json) if wait else None
     if as_json:
         print(
             json.dumps(
@@ -77,26 +78,26 @@
             )
         )
     else:
-        print(f"{'accepted before' if accepted['repeated'] else 'accepted'}: {shortened(numbers)}")
+        print(f"{'accepted before' if accepted['repeated'] else 'accepted'}: {number_range(numbers)}")
         if facts and facts["in_effect_ms"]:
-            took = facts["in_effect_ms"] - facts["accepted_ms"]
-            print(f"in effect since {clock(facts['in_effect_ms'])}, {took} ms after it was accepted")
+            elapsed = facts["in_effect_ms"] - facts["accepted_ms"]
+            print(f"in effect since {format_time(facts['in_effect_ms'])}, {elapsed} ms after it was accepted")
     if wait and not facts["in_effect_ms"]:
         raise PurgeNotInEffect(
-            f"not in effect after {span:g} s; it will be by {clock(facts['latest_ms'])} at the "
-            f"latest, behind: {behind(facts)}"
+            f"not in effect after {span:g} s; it will be by {format_time(facts['latest_ms'])} at the "
+            f"latest, behind: {format_behind(facts)}"
         )
 
 
-def listed(name):
-    """Purges of a file, one a line; - is standard input."""
+def read_items(name):
+    """Reads purges from a file, one per line; - is standard input."""
     try:
         with sys.stdin if name == "-" else open(name, encoding="utf-8") as file:
             lines = file.readlines()
     except UnicodeDecodeError:
         raise InvalidInput(f"{name}: not UTF-8 text") from None
-    except OSError as wrong:
-        raise FileUnavailable(f"{name}: {wrong.strerror}") from None
+    except OSError as error:
+        raise FileUnavailable(f"{name}: {error.strerror}") from None
     items = []
     for number, line in enumerate(lines, 1):
         kind, _, what = line.strip().partition(" ")
@@ -109,32 +110,33 @@
     return items
 
 
-def made_up_key():
-    """New each time, and it says who: the desk keeps it, and `list` shows it."""
+def generate_key():
+    """Returns a unique key that names the user and host; the desk stores it and `list` shows it."""
     try:
-        who = getpass.getuser()
+        user = getpass.getuser()
     except (KeyError, OSError):  # a user without a name
-        who = str(os.getuid())
-    who = "".join(c for c in f"{who}@{socket.gethostname()}" if c.isprintable())
-    return f"{who[:80]}/{uuid.uuid4().hex}"
+        user = str(os.getuid())
+    user = "".join(c for c in f"{user}@{socket.gethostname()}" if c.isprintable())
+    return f"{user[:80]}/{uuid.uuid4().hex}"
 
 
-def waited(desk, numbers, span, quiet):
-    """The facts of the last one, once it is in effect or the time is over: the order is one, so all before it
-    are.
+def wait_until_in_effect(desk, numbers, span, quiet):
+    """Polls until the last purge is in effect or the time is over; returns its data.
+
+    Purges take effect in order, so all earlier ones are in effect then.
     """
-    until, shown = time.monotonic() + span, sys.stderr.isatty() and not quiet
+    deadline, show_progress = time.monotonic() + span, sys.stderr.isatty() and not quiet
     while True:
-        facts = good(desk.call("GET", f"/v1/purges/{numbers[-1]}"))
-        if shown:
+        facts = require_ok(desk.call("GET", f"/v1/purges/{numbers[-1]}"))
+        if show_progress:
             missing = 0 if facts["in_effect_ms"] else len(facts["behind"])
             print(
                 f"\r{facts['members'] - missing} of {facts['members']} members have it ",
                 end="",
                 file=sys.stderr,
             )
-        if facts["in_effect_ms"] or time.monotonic() >= until:
-            if shown:
+        if facts["in_effect_ms"] or time.monotonic() >= deadline:
+            if show_progress:
                 print(file=sys.stderr)
             return facts
-        time.sleep(LOOK)
+        time.sleep(POLL_INTERVAL)
--- a/hookrouter/command/purges/verifying.py
+++ b/hookrouter/command/purges/verifying.py
@@ -1,4 +1,4 @@
-"""purges verify: checks a store while no desk runs on it."""
+"""The command purges verify, which checks a store while no desk uses it."""
 
 import json
 import os
--- a/hookrouter/command/router.py
+++ b/hookrouter/command/router.py
@@ -1,4 +1,4 @@
-"""serve, check and version: one router."""
+"""The commands serve, check and version, for one router."""
 
 import gc
 import os
@@ -10,20 +10,21 @@
 from . import DONE, read_site, site_option
 
 
-def read_again(site_file):
-    """Both files as they are now, for a reload; Malformed names what cannot be used."""
+def reload_start(site_file):
+    """Reads both files again for a reload; raises Malformed."""
     from ..node.start import read_start
     from ..site import InvalidSiteFile, read
 
     try:
         return read_start(os.environ, sections=read(site_file) if site_file else {})
-    except InvalidSiteFile as wrong:
-        raise Malformed("; ".join(wrong.lines)) from None
+    except InvalidSiteFile as error:
+        raise Malformed("; ".join(error.lines)) from None
 
 
 def sharing_member(reactor, log, sections, make_state):
-    """A member that routes; make_state(): what it shares with its zone, see Sharing, called with [sharing]
-    only. Both are imported only where they are on.
+    """Creates a member that serves lookups, importing only the parts in use.
+
+    make_state(): the state that it shares with its zone, see Sharing; called only with [sharing].
     """
     from ..fleet.member.service import Member
 
@@ -36,14 +37,14 @@
 
 
 def member_of(reactor, log, sections, router):
-    """This router's part in its fleet."""
+    """Creates this router's fleet member with the parts that are configured."""
 
-    def told():
+    def make_state():
         from ..node.told import Told
 
         return Told(router)
 
-    member = sharing_member(reactor, log, sections, told)
+    member = sharing_member(reactor, log, sections, make_state)
     if "spread" in sections:
         from ..fleet.member.spread import Spreading
 
@@ -73,7 +74,7 @@
     from ..node.signals import Signals
     from ..node.start import read_start
 
-    signals = signals or Signals()  # before all that takes time: none that comes meanwhile ends the process
+    signals = signals or Signals()  # before the slow imports, so no signal during them ends the process
     sections = read_site(site_file)
     start = read_start(os.environ, sections=sections)
     from twisted.internet import reactor
@@ -88,8 +89,8 @@
     router = Router(start, reactor, log, counters)
     member = member_of(reactor, log, sections, router) if "fleet" in sections else None
     gc.collect()
-    gc.freeze()  # what is here now stays: later collections pass it over
-    service = Service(router, start, reactor, log, counters, lambda: read_again(site_file), member)
+    gc.freeze()  # long-lived objects are exempt from later collections
+    service = Service(router, start, reactor, log, counters, lambda: reload_start(site_file), member)
     raise SystemExit(service.run(signals))
 
 
--- a/hookrouter/command/shown.py
+++ b/hookrouter/command/shown.py
@@ -1,17 +1,18 @@
-"""What commands show to people: by rich on a terminal, plain columns in a pipe."""
+"""Tables for people: formatted by rich on a terminal, tab-separated columns in a pipe."""
 
 import sys
 
 
-def table(heads, rows):
+def table(headers, rows):
+    """Prints a table."""
     if sys.stdout.isatty():
         from rich.console import Console
         from rich.table import Table
 
-        made = Table(*heads)
+        grid = Table(*headers)
         for row in rows:
-            made.add_row(*map(str, row))
-        Console().print(made)
+            grid.add_row(*map(str, row))
+        Console().print(grid)
         return
-    for row in (heads, *rows):
+    for row in (headers, *rows):
         print("\t".join("" if value is None else str(value) for value in row))
--- a/hookrouter/command/trace.py
+++ b/hookrouter/command/trace.py
@@ -1,4 +1,4 @@
-"""trace: what routers decided, read back from their traces."""
+"""The group trace: shows, accounts and replays the decisions recorded in traces."""
 
 import json
 import os
@@ -22,8 +22,8 @@
     """
 
 
-def found(paths):
-    """Segments of files and folders, those of one router in their order."""
+def segment_files(paths):
+    """Returns the trace segments in files and folders, those of one router in order."""
     from ..stores.trace_log import segments
 
     files = []
@@ -36,38 +36,38 @@
     return files
 
 
-def rows(files):
-    """(router's name, Header) for each life, then (name, Row) a line; faults go to standard error.
+def read_rows(files):
+    """Yields (router name, Header) for each run of a router, then (name, Row) for each line.
 
-    A life has a header in each of its segments: the first one is told.
+    A run has a header in each of its segments; only the first is given. Errors go to standard error.
     """
     from ..stores.trace_log import lines
     from ..trace import read_header, read_row
 
-    lives = {}  # name -> when its life began
+    runs = {}  # name -> start time of its current run
     for path in files:
-        name, bad = None, 0
+        name, unreadable = None, 0
         try:
             for line in lines(path):
                 try:
                     if name is None:
                         header = read_header(line)
                         name = header.router
-                        if lives.get(name) != header.began:
-                            lives[name] = header.began
+                        if runs.get(name) != header.began:
+                            runs[name] = header.began
                             yield name, header
                     else:
                         yield name, read_row(line)
-                except UnreadableTrace as wrong:
+                except UnreadableTrace as error:
                     if name is None:
-                        raise UnreadableTrace(f"{path}: {wrong}") from None
-                    bad += 1
-        except HookrouterError as wrong:
-            ended_by(wrong)
-        except OSError as wrong:
-            ended_by(FileUnavailable(f"{path}: {wrong.strerror}"))
-        if bad:
-            print(f"hookrouter: {path}: {bad} lines cannot be read, left out", file=sys.stderr)
+                        raise UnreadableTrace(f"{path}: {error}") from None
+                    unreadable += 1
+        except HookrouterError as error:
+            ended_by(error)
+        except OSError as error:
+            ended_by(FileUnavailable(f"{path}: {error.strerror}"))
+        if unreadable:
+            print(f"hookrouter: {path}: {unreadable} lines cannot be read, left out", file=sys.stderr)
 
 
 paths_argument = click.argument("paths", nargs=-1, required=True, type=click.Path(exists=True))
@@ -87,24 +87,26 @@
     """
     from collections import deque
 
-    wanted, kept = set(), deque(maxlen=last)
-    for name, row in rows(found(paths)):
+    matching, matched = set(), deque(maxlen=last)
+    for name, row in read_rows(segment_files(paths)):
         if not hasattr(row, "event"):
-            began = row.began
-            wanted = {number for number in wanted if number[0] != name}
+            started_at = row.began
+            matching = {lookup_key for lookup_key in matching if lookup_key[0] != name}
             continue
         if lookup is not None:
-            number = name, row.fields[0] if row.fields else None
-            if row.event == "Lookup":  # numbers are used again
-                wanted.discard(number)
+            lookup_key = name, row.fields[0] if row.fields else None
+            if row.event == "Lookup":  # numbers are reused
+                matching.discard(lookup_key)
                 if row.ref == lookup:
-                    wanted.add(number)
+                    matching.add(lookup_key)
             named = any(
-                (name, fields[0]) in wanted
-                for word, fields, _ in row.effects
-                if word in ("Ask", "Obtain", "Nack", "Fail", "Give")
+                (name, fields[0]) in matching
+                for effect, fields, _ in row.effects
+                if effect in ("Ask", "Obtain", "Nack", "Fail", "Give")
             )
-            if not named and (row.event not in ("Lookup", "SendEnd", "ClientGone") or number not in wanted):
+            if not named and (
+                row.event not in ("Lookup", "SendEnd", "ClientGone") or lookup_key not in matching
+            ):
                 continue
         if (
             cache is not None
@@ -112,35 +114,38 @@
             and not any(cache in fields for _, fields, _ in row.effects)
         ):
             continue
-        kept.append((name, began, row))
+        matched.append((name, started_at, row))
         if last is None:
-            shown(*kept.popleft(), as_json)
-    for entry in kept:
-        shown(*entry, as_json)
+            print_row(*matched.popleft(), as_json)
+    for entry in matched:
+        print_row(*entry, as_json)
 
 
-def shown(name, began, row, as_json):
+def print_row(name, started_at, row, as_json):
+    """Prints a decision on one line."""
     if as_json:
         print(json.dumps([name, *row]))
         return
     fields = " ".join(str(field) for field in row.fields[:8])
-    said = "; ".join(
-        f"{word} {' '.join(str(field) for field in fields[1:])}"
+    effects_text = "; ".join(
+        f"{effect} {' '.join(str(field) for field in fields[1:])}"
         + (
-            f" (out {belief[0]} of {bound(belief[1])}, feeding {belief[2]} of {bound(belief[3])})"
-            if belief
+            f" (out {load_estimate[0]} of {format_bound(load_estimate[1])}, "
+            f"feeding {load_estimate[2]} of {format_bound(load_estimate[3])})"
+            if load_estimate
             else ""
         )
-        for word, fields, belief in row.effects
-        if word != "SetAlarm"
+        for effect, fields, load_estimate in row.effects
+        if effect != "SetAlarm"
     )
     print(
-        f"{(row.at - began) / SECOND:10.4f} {name} {row.event} {row.ref or ''} {fields[:120]}"
-        f" -> {said or '-'}"
+        f"{(row.at - started_at) / SECOND:10.4f} {name} {row.event} {row.ref or ''} {fields[:120]}"
+        f" -> {effects_text or '-'}"
     )
 
 
-def bound(window):
+def format_bound(window):
+    """Formats a limit of sends in flight; None is unlimited."""
     return "any" if window is None else f"{window:.2f}"
 
 
@@ -155,31 +160,31 @@
     """
     from ..trace import Account
 
-    made = Account()
-    for name, row in rows(found(paths)):
+    totals = Account()
+    for name, row in read_rows(segment_files(paths)):
         if hasattr(row, "event"):
-            made.add(name, row)
+            totals.add(name, row)
         else:
-            made.begin(row)
-    if not made.ended_lookups:
-        nothing = NoTraceFound("no lookup has its end in these traces")
-        nothing.exit_code = FAILED
-        raise nothing
+            totals.begin(row)
+    if not totals.ended_lookups:
+        error = NoTraceFound("no lookup has its end in these traces")
+        error.exit_code = FAILED
+        raise error
     course, kinds, lost, sends, beliefs, sizes = (
-        made.by_second(step),
-        made.by_kind(),
-        made.lost(),
-        made.sends(),
-        made.by_load(),
-        made.by_size(),
+        totals.by_second(step),
+        totals.by_kind(),
+        totals.lost(),
+        totals.sends(),
+        totals.by_load(),
+        totals.by_size(),
     )
     if as_json:
         print(
             json.dumps(
                 {
-                    "lookups": len(made.ended_lookups),
-                    "rows": made.rows,
-                    "skipped": made.skipped,
+                    "lookups": len(totals.ended_lookups),
+                    "rows": totals.rows,
+                    "skipped": totals.skipped,
                     "course": course,
                     "kinds": kinds,
                     "lost": [[*key, count, share] for key, count, share in lost],
@@ -190,27 +195,33 @@
             )
         )
         return
-    percent = lambda share: f"{100 * share:.1f}"  # noqa: E731
-    words = ("in budget", "late", "nacked", "failed", "left")
-    print(f"{len(made.ended_lookups)} lookups, {made.rows} decisions")
+    format_percent = lambda share: f"{100 * share:.1f}"  # noqa: E731
+    outcomes = ("in budget", "late", "nacked", "failed", "left")
+    print(f"{len(totals.ended_lookups)} lookups, {totals.rows} decisions")
     table(
-        ("from s", "lookups", *words, "utility %", "sends"),
+        ("from s", "lookups", *outcomes, "utility %", "sends"),
         [
-            (second, count, *(percent(ends[word]) for word in words), percent(worth), f"{tries:.2f}")
-            for second, count, ends, worth, tries in course
+            (
+                second,
+                count,
+                *(format_percent(ends[outcome]) for outcome in outcomes),
+                format_percent(utility),
+                f"{sends_per_lookup:.2f}",
+            )
+            for second, count, ends, utility, sends_per_lookup in course
         ],
     )
     table(
-        ("kind", "lookups", *words, "utility %"),
+        ("kind", "lookups", *outcomes, "utility %"),
         [
-            (kind, count, *(percent(ends[word]) for word in words), percent(worth))
-            for kind, (count, ends, worth) in kinds.items()
+            (kind, count, *(format_percent(ends[outcome]) for outcome in outcomes), format_percent(utility))
+            for kind, (count, ends, utility) in kinds.items()
         ],
     )
     table(
         ("kind", "lookups", "answered %", "of it the largest tenth", "the next fifth"),
         [
-            (kind, count, percent(whole), f"{largest:.2f}", f"{after:.2f}")
+            (kind, count, format_percent(whole), f"{largest:.2f}", f"{after:.2f}")
             for kind, (count, whole, largest, after) in sizes.items()
         ],
     )
@@ -220,13 +231,13 @@
     )
     table(
         ("sends", "ended", "count", "median ms"),
-        [(*key, count, f"{middle / 10:.0f}") for key, (count, middle) in sends.items()],
+        [(*key, count, f"{median / 10:.0f}") for key, (count, median) in sends.items()],
     )
     table(
         ("out there of all routers", "sends", "own out", "window", "in budget %"),
         [
-            (f"{least} to {most}", count, f"{own:.2f}", bound(window), percent(good))
-            for least, most, count, own, window, good in beliefs
+            (f"{least} to {most}", count, f"{own:.2f}", format_bound(window), format_percent(in_budget))
+            for least, most, count, own, window, in_budget in beliefs
         ],
     )
 
@@ -241,11 +252,11 @@
     """
     from ..trace import Replay
 
-    made, lives = {}, []
-    for name, row in rows(found(paths)):
+    replays, runs = {}, []
+    for name, row in read_rows(segment_files(paths)):
         if not hasattr(row, "event"):
-            made[name] = Replay(row)
-            lives.append((name, made[name]))
+            replays[name] = Replay(row)
+            runs.append((name, replays[name]))
             if row.guarded:
                 print(
                     f"hookrouter: {name}: purges of the fleet were on; what they refused will differ",
@@ -253,30 +264,31 @@
                 )
             continue
         try:
-            made[name].play(row)
-        except (KeyError, TypeError, IndexError, AttributeError) as wrong:
+            replays[name].play(row)
+        except (KeyError, TypeError, IndexError, AttributeError) as error:
             raise TraceNotReplayable(
-                f"{name}: a {row.event} at {row.at} that this build cannot play: {wrong!r}; "
+                f"{name}: a {row.event} at {row.at} that this build cannot play: {error!r}; "
                 "wanted is the trace of a whole life, from its first segment on"
             ) from None
     if as_json:
         print(
             json.dumps(
                 [
-                    {"router": name, "decisions": life.rows, "different": life.different}
-                    for name, life in lives
+                    {"router": name, "decisions": replayed.rows, "different": replayed.different}
+                    for name, replayed in runs
                 ]
             )
         )
     else:
         table(
-            ("router", "decisions", "different"), [(name, life.rows, life.different) for name, life in lives]
+            ("router", "decisions", "different"),
+            [(name, replayed.rows, replayed.different) for name, replayed in runs],
         )
-        for name, life in lives:
-            for row, effects in life.differences[:3]:
+        for name, replayed in runs:
+            for row, effects in replayed.differences[:3]:
                 print(
                     f"{name} at {row.at}, {row.event} {row.fields[:3]}: was "
                     f"{[effect[:2] for effect in row.effects]}, is now {effects}"[:400]
                 )
-    if any(life.different for _, life in lives):
+    if any(replayed.different for _, replayed in runs):
         raise SystemExit(FAILED)
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -157,7 +157,7 @@
     place, capsys, monkeypatch, code, words
 ):
     monkeypatch.chdir(place.folder)
-    monkeypatch.setattr(calls, "PAUSE", 0)
+    monkeypatch.setattr(calls, "RETRY_DELAY", 0)
     for name in ("EDGE_CONFIG", "EDGE_LISTEN", "HOOKROUTER_SITE"):
         monkeypatch.delenv(name, raising=False)
     given = words.split()
