--- a/hookrouter/fleet/__init__.py
+++ b/hookrouter/fleet/__init__.py
@@ -1,3 +1,4 @@
-"""What routers do as a fleet: member/ (one process), wire/ (bytes among members). Decides nothing itself:
-see hookrouter/decisions.
+"""The fleet: member/ runs one member process, wire/ carries messages between members.
+
+The decisions themselves are made in hookrouter/decisions.
 """
--- a/hookrouter/fleet/member/__init__.py
+++ b/hookrouter/fleet/member/__init__.py
@@ -1,1 +1,1 @@
-"""The role of a fleet's member: a keeper's decisions and a holder's on sockets, clocks and a disk."""
+"""A fleet member: runs the decision state machines on sockets, clocks and a disk."""
--- a/hookrouter/fleet/member/command_stream.py
+++ b/hookrouter/fleet/member/command_stream.py
@@ -1,4 +1,4 @@
-"""Commands to the fleet's log, one after the other, each asked until it is answered or its duty is lost."""
+"""A stream of commands to the fleet's replicated log: one at a time, resent until answered or failed."""
 
 from collections import deque
 
@@ -7,20 +7,23 @@
 from ...decisions.owners import protocol
 from ...errors.wire import DutyLost
 
-RESEND_INTERVAL = 0.3  # seconds until a command without an answer is asked again
+RESEND_INTERVAL = 0.3  # seconds until an unanswered command is sent again
 MAX_PENDING = 1_000
 
 
 class CommandStream:
-    """A stream of commands of its own: the log remembers the last key of each."""
+    """Submits commands in order, one outstanding at a time.
+
+    The log remembers the last key of each stream, so a resent command is applied only once.
+    """
 
     def __init__(self, reactor, stream_id, send):
-        """who: NAME#LIFE.STREAM; tell(message): to the leader as far as it is known."""
+        """stream_id: NAME#GENERATION.STREAM; send(message): sends to the presumed leader."""
         self.reactor, self.stream_id, self.send = reactor, stream_id, send
-        self.command_count, self.pending, self.stopped = 0, deque(), False  # (Ask, its Deferred)
+        self.command_count, self.pending, self.stopped = 0, deque(), False  # (CommandRequest, Deferred)
 
     def submit(self, command, fields):
-        """A Deferred of the result, a list."""
+        """Returns a Deferred of the result, a list; it fails with DutyLost."""
         self.command_count += 1
         deferred = Deferred()
         if self.stopped or len(self.pending) >= MAX_PENDING:
@@ -39,7 +42,7 @@
             self.reactor.callLater(RESEND_INTERVAL, self._send_until_answered, entry)
 
     def on_answer(self, answer):
-        """Whether it was this stream's."""
+        """Handles an answer; returns whether it was for this stream."""
         if not self.pending or self.pending[0][0].key != answer.key or answer.result is None:
             return False
         _, deferred = self.pending.popleft()
@@ -49,16 +52,17 @@
         return True
 
     def on_leader_changed(self):
-        """Another leads: what waits is asked there at once."""
+        """Resends the outstanding command to the new leader at once."""
         if self.pending:
             self.send(self.pending[0][0])
 
     def fail_pending(self):
-        """What waits ends now."""
+        """Fails all pending commands with DutyLost."""
         pending, self.pending = self.pending, deque()
         for _, deferred in pending:
             deferred.errback(DutyLost("the duty is another's now"))
 
     def stop(self):
+        """Fails all pending commands and refuses new ones."""
         self.stopped = True
         self.fail_pending()
--- a/hookrouter/fleet/member/drill.py
+++ b/hookrouter/fleet/member/drill.py
@@ -1,8 +1,7 @@
-"""Drill duties: steps done at a register that audits them, one line of JSON each. What a duty's work looks
-like.
+"""Drill duties, for tests of ownership: numbered steps sent to a register that audits them, as JSON lines.
 
-The act is made from the warrant right before its bytes go; should this process stand still behind that, the
-register refuses the act by its number.
+Each step is authorized by the lease right before it is sent. If the process is paused after that, the
+register rejects the step by its fencing token.
 """
 
 import json
@@ -12,11 +11,13 @@
 from twisted.protocols.basic import LineReceiver
 
 STEP_INTERVAL = 0.05  # seconds between steps
-RECONNECT_DELAY = 0.3  # seconds until a register that is not there is called again
+RECONNECT_DELAY = 0.3  # seconds between attempts to connect to the register
 CONNECT_TIMEOUT = 1.0
 
 
 class RegisterConnection(LineReceiver):
+    """The connection to the register."""
+
     delimiter = b"\n"
     MAX_LENGTH = 4_096
 
@@ -42,17 +43,16 @@
 
 
 class DrillWorker:
+    """Performs the steps of all drill duties of this member over one connection."""
+
     def __init__(self, reactor, address, on_step_done, log):
         self.reactor, self.address, self.on_step_done, self.log = reactor, address, on_step_done, log
-        self.duties, self.connection, self.connecting, self.stopped = (
-            {},
-            None,
-            False,
-            False,
-        )  # duty -> (warrant, clock)
+        # duties: duty -> (lease, clock)
+        self.duties, self.connection, self.connecting, self.stopped = {}, None, False, False
         self.connect()
 
     def connect(self):
+        """Connects to the register unless connected or stopped."""
         if self.stopped or self.connecting or self.connection is not None:
             return
         self.connecting = True
@@ -67,20 +67,22 @@
         self.reconnect_later()
 
     def reconnect_later(self):
+        """Schedules another attempt to connect."""
         if not self.stopped:
             self.reactor.callLater(RECONNECT_DELAY, self.connect)
 
     def start_duty(self, lease, clock):
+        """Starts the steps of a duty; clock(): the time that the lease is checked against."""
         self.duties[lease.duty] = lease, clock
         self.send_step(lease.duty, lease.fencing_token, 0)
 
     def resume(self):
-        """A new line: each duty asks where it stands."""
+        """Asks the register for the last step of each duty, on a new connection."""
         for duty, (lease, _) in list(self.duties.items()):
             self.send_step(duty, lease.fencing_token, 0)
 
     def send_step(self, duty, fencing_token, step):
-        """step 0 asks how far the register is; it does nothing."""
+        """Sends a step; step 0 only asks for the last one."""
         entry = self.duties.get(duty)
         if (
             entry is None
@@ -98,6 +100,7 @@
         )
 
     def on_answer(self, duty, fencing_token, ok, step):
+        """Handles the register's answer and schedules the next step."""
         entry = self.duties.get(duty)
         if entry is None or entry[0].fencing_token != fencing_token:
             return
@@ -110,6 +113,7 @@
         self.reactor.callLater(STEP_INTERVAL, self.send_step, duty, fencing_token, step + 1)
 
     def stop(self):
+        """Closes the connection."""
         self.stopped = True
         if self.connection is not None:
             self.connection.transport.abortConnection()
--- a/hookrouter/fleet/member/list_transfers.py
+++ b/hookrouter/fleet/member/list_transfers.py
@@ -1,4 +1,4 @@
-"""Lists lent to other members and pulled from them, over the streams between any two."""
+"""Transfers of lists in pieces: served to other members and pulled from them, over their streams."""
 
 import msgspec
 from twisted.internet.defer import Deferred, succeed
@@ -6,14 +6,17 @@
 from ...decisions.sharing import protocol
 from ...decisions.sharing.pulls import Lender, Puller
 
-MAX_PULLS = 16  # under way at once
+MAX_PULLS = 16  # concurrent
 
 encode = msgspec.msgpack.Encoder().encode
 decode = msgspec.msgpack.Decoder(protocol.Streamed).decode
 
 
 class ListTransfers:
-    """send(name, data) carries a piece; makers: {topic: what gives the list's bytes, or None}."""
+    """Serves lists to other members and pulls theirs.
+
+    send(name, data) sends one piece; providers: {topic: function that returns the list's bytes or None}.
+    """
 
     def __init__(self, reactor, terms, clock, send, count):
         self.reactor, self.clock, self.send, self.count = reactor, clock, send, count
@@ -22,10 +25,10 @@
             {},
             None,
             False,
-        )  # (name, topic) -> (Puller, Deferred, its call)
+        )  # (name, topic) -> [Puller, Deferred, timer]
 
     def pull(self, name, topic, timeout):
-        """Deferred of bytes, or of None where they did not come within that time."""
+        """Returns a Deferred of the list's bytes, or of None if it does not arrive within the timeout."""
         if self.stopped or (name, topic) in self.pulls or len(self.pulls) >= MAX_PULLS:
             return succeed(None)
         deferred = Deferred()
@@ -54,6 +57,7 @@
             self.pulls[name, topic][2] = self.reactor.callLater(delay, self._check_pull, name, topic)
 
     def on_parcel(self, name, parcel):
+        """Handles a request for a list, or a piece of a list pulled from that member."""
         if self.stopped:
             return
         try:
@@ -82,6 +86,7 @@
         self._send_pieces(self.lender.due_pieces(self.clock()))
 
     def stop(self):
+        """Ends all transfers; pending pulls give None."""
         self.stopped = True
         if self.timer is not None:
             self.timer.cancel()
--- a/hookrouter/fleet/member/purge_endpoint.py
+++ b/hookrouter/fleet/member/purge_endpoint.py
@@ -1,4 +1,4 @@
-"""The HTTP face of every keeper that may bear the desk of purges: its own desk, or the way to the owner's."""
+"""HTTP endpoint of keepers that can run the purge desk: serves its own desk or forwards to the owner's."""
 
 from twisted.web import resource, server
 
@@ -6,23 +6,23 @@
 from ...feed.caller import Caller
 from ...tables.deadlines import Deadlines
 
-FORWARD_TIMEOUT = 2.5  # seconds for the owner's answer: less than a submitter waits for this one
-MAX_FORWARDED = 256  # requests that wait for the owner's answer
-FOLLOWER_PATHS = b"/v1/feed", b"/v1/renew", b"/v1/slices"  # paths that are not passed on to the owner
+FORWARD_TIMEOUT = 2.5  # seconds for the owner's answer; shorter than a submitter's own timeout
+MAX_FORWARDED = 256  # requests waiting for the owner's answer
+FOLLOWER_PATHS = b"/v1/feed", b"/v1/renew", b"/v1/slices"  # not forwarded: followers connect to the owner
 
 
 class PurgeEndpoint(resource.Resource):
-    """The owner's own desk, or the way to it."""
+    """Root resource: the local desk while this keeper owns the duty, otherwise a forwarder to the owner."""
 
     def __init__(self, duty, reactor, owner_address):
-        """owner(): "HOST:PORT" of the owner that the log knows last, or ""."""
+        """owner_address(): "HOST:PORT" of the last owner known from the log, or ""."""
         super().__init__()
         self.duty, self.reactor, self.owner_address = duty, reactor, owner_address
         self.deadlines, self.forwarded = Deadlines(reactor), 0
         self.secret = duty.purges["secret"]
 
     def count(self, name):
-        """Strangers are counted where the desk is."""
+        """Does nothing: unauthorized requests are counted at the desk."""
 
     def getChild(self, name, request):
         if self.duty.is_live():
@@ -31,7 +31,7 @@
 
 
 class OwnerForwarder(web.Face):
-    """Submissions and questions go on to the owner; followers are told where it is."""
+    """Forwards submissions and queries to the owner; followers get its address in X-Desk."""
 
     isLeaf = True
 
--- a/hookrouter/fleet/member/purges.py
+++ b/hookrouter/fleet/member/purges.py
@@ -1,9 +1,8 @@
-"""The desk of purges as a duty: its owner orders, the fleet's log keeps, any keeper takes and passes on.
+"""The purge desk as a duty: its owner orders purges, the replicated log stores them, any keeper accepts them.
 
-An owner begins once its own copy holds all that was agreed before its grant, under an epoch that the log
-gives it. Each append names the number of its grant, so what an earlier owner still has in its hands is
-refused by the log; what it still says to followers bears a lower epoch, which they refuse. It answers nothing
-without a live warrant.
+An owner starts once its copy has every record committed before its grant, under an epoch assigned by the log.
+Each append carries the fencing token of the grant, so the log rejects late appends of an earlier owner;
+followers reject its late messages because of their lower epoch. Nothing is answered without a live lease.
 """
 
 import time
@@ -19,16 +18,16 @@
 from .records import DUTY
 
 SWEEP_DUTY = "sweep/purges"
-COPY_CHECK_INTERVAL = 0.02  # seconds between looks whether the copy has come up to the grant
-START_TIMEOUT = 2.0  # seconds; an owner that cannot begin by then lets another try
-MAX_BATCH = 1_000  # purges in one entry of the log: a message takes as many of the longest
-MAX_NAMES = 1_000  # followers' names in one entry
+COPY_CHECK_INTERVAL = 0.02  # seconds between checks whether the copy has caught up with the grant
+START_TIMEOUT = 2.0  # seconds; an owner that cannot start by then gives up the duty
+MAX_BATCH = 1_000  # purges in one log entry; that many of maximum length fit into a message
+MAX_NAMES = 1_000  # follower names in one log entry
 SWEEP_INTERVAL = 2.0  # seconds between steps
-MAX_SWEPT = 5_000  # purges folded away in one step: some milliseconds of each copy's disk
+MAX_SWEPT = 5_000  # purges folded in one step: some milliseconds of disk time at each copy
 
 
 class ReplicatedStore:
-    """What the desk writes to, like a LocalStore; here each batch is an entry of the fleet's log."""
+    """The desk's store, with the interface of LocalStore; each batch is an entry of the fleet's log."""
 
     def __init__(self, duty):
         self.duty = duty
@@ -38,10 +37,12 @@
             raise DutyLost(f"the log says {result[0]}")
 
     def append(self, batch):
+        """Appends purges as one log entry; fails with DutyLost if the log rejects it."""
         first, bodies = batch[0][0].n, [pack(purge, key) for purge, key in batch]
         return self.duty.command(APPEND, [first, bodies]).addCallback(self._expect, "kept")
 
     def update_followers(self, joined, left):
+        """Records followers that joined or left."""
         requests = [
             self.duty.command(FOLLOWERS, [joined[start : start + MAX_NAMES], left[start : start + MAX_NAMES]])
             for start in range(0, max(len(joined), len(left)), MAX_NAMES)
@@ -51,12 +52,13 @@
         )
 
     def fold(self, upto):
-        return succeed(None)  # a duty of its own, below
+        return succeed(None)  # done by SweepDuty
 
     def seal(self):
-        return succeed(False)  # each keeper's copy does so itself
+        return succeed(False)  # each keeper's copy seals by itself
 
     def reopen(self, least):
+        """Opens a new epoch."""
         return self.duty.open_epoch(least)
 
     def close(self):
@@ -67,8 +69,10 @@
 
 
 class PurgesDuty:
+    """Runs the purge desk while this member holds its lease."""
+
     def __init__(self, reactor, log, sections, records, commands, clock, is_stored, give_up):
-        """filed(index): whether the copy has all up to that entry; give_up(duty, why): the member's."""
+        """is_stored(index): whether the copy has all entries up to it; give_up(duty, why) releases it."""
         self.reactor, self.log, self.records, self.commands = reactor, log, records, commands
         self.purges, self.section, self.sections = sections["purges"], sections["desk"], sections
         self.clock, self.is_stored, self.give_up = clock, is_stored, give_up
@@ -84,13 +88,14 @@
         self._await_copy(lease, self.reactor.seconds() + START_TIMEOUT)
 
     def _await_copy(self, lease, deadline):
-        """All that was agreed before the grant has to be in the copy; of what an older owner appends later
-        nothing counts.
+        """Opens the epoch once the copy has all entries before the grant.
+
+        Later appends of an older owner are rejected by their fencing token.
         """
         if lease is not self.lease:
             return
         if self.is_stored(lease.fencing_token):
-            # Above those of a fleet that began anew without its stores, as a desk of its own does.
+            # Milliseconds since 1970 exceed the epochs of a fleet that restarted without its stores.
             self.open_epoch(int(time.time() * 1_000)).addCallbacks(
                 self._start_desk, self._start_failed, callbackArgs=(lease,), errbackArgs=(lease,)
             )
@@ -100,7 +105,7 @@
             self.reactor.callLater(COPY_CHECK_INTERVAL, self._await_copy, lease, deadline)
 
     def open_epoch(self, least):
-        """A Deferred of what a desk reads at its start."""
+        """Opens a new epoch; returns a Deferred of the state that a desk starts from."""
         return self.command(OPEN, [least, self.address]).addCallback(self._on_opened)
 
     def _on_opened(self, result):
@@ -133,31 +138,29 @@
             self.give_up(DUTY, "it cannot begin")
 
     def on_lost(self):
-        """What waits is refused at once with a time to come back; followers go to the next owner."""
+        """Stops the desk: waiting requests are refused with Retry-After; followers move to the next owner."""
         self.lease, desk, self.desk, self.tree = None, self.desk, None, None
         if desk is not None:
             desk.stop()
         self.commands.fail_pending()
 
     def is_live(self):
-        """Looked at before anything is answered: this process may have stood still."""
+        """Whether the lease is live; checked before each answer, as the process may have been paused."""
         return self.desk is not None and self.lease.authorize(self.clock(), None) is not None
 
     def command(self, command, fields):
-        """Under the number of the grant, or not at all."""
+        """Submits a command with the fencing token; fails with DutyLost without a live lease."""
         fenced = None if self.lease is None else self.lease.authorize(self.clock(), fields)
         if fenced is None:
-            return fail(DutyLost("the warrant is over"))
+            return fail(DutyLost("the lease has expired"))
         return self.commands.submit(command, [fenced.duty, fenced.fencing_token, *fenced.action])
 
 
 class SweepDuty:
-    """Folds away what no copy of an object can be older than, in steps; the next owner goes on behind the
-    last that was done.
-    """
+    """Folds purges older than the hold, in steps; the next owner continues after the last step."""
 
     def __init__(self, reactor, log, hold, records, commands, wall_clock, clock, last_step):
-        """step(): the last that is known to be done; wall: tenths of a millisecond, as purges are stamped."""
+        """last_step(duty): last completed step; wall_clock(): tenths of a millisecond, as purges have."""
         self.reactor, self.log, self.hold, self.records, self.commands = reactor, log, hold, records, commands
         self.wall_clock, self.clock, self.last_step, self.lease = wall_clock, clock, last_step, None
 
--- a/hookrouter/fleet/member/records.py
+++ b/hookrouter/fleet/member/records.py
@@ -1,7 +1,6 @@
-"""A keeper's copy of the order of purges on disk: what replicas/record_copy.py decides,
-done in a thread of its own.
+"""A keeper's on-disk copy of the purge sequence: carries out the decisions of replicas/record_copy.py.
 
-Apart from the keeper's own store, so that a vote never waits behind what is filed here.
+It has its own store and thread, separate from the keeper's store, so votes never wait for purge writes.
 """
 
 import os
@@ -19,15 +18,19 @@
 from ...stores import PurgeLog, UnusableStore
 
 DUTY = "purges"
-MAX_FETCH_BYTES = 400_000  # bytes of records sent to one that fetches, at a time: a frame takes them
+MAX_FETCH_BYTES = 400_000  # bytes of records in one reply to a fetch; fits into a frame
 MAX_NAMES = 10_000
 REOPEN_INTERVAL = 1.0  # seconds between tries to open a store that failed
-MAX_SET_ASIDE = 3  # files of copies that differed, kept under other names; older ones are written over
+MAX_SET_ASIDE = 3  # renamed files of damaged or different copies that are kept; older ones are overwritten
 
 
 class Records:
+    """The local copy of the purge records and its exchange with the other keepers."""
+
     def __init__(self, reactor, path, terms, other_keepers, clock, log, send, on_stored, on_reopened):
-        """terms: how old purges are sealed. send(to, message), filed(index), recall(): the member's."""
+        """terms: sealing terms. send(receiver, message); on_stored(index): entries up to it are on disk;
+        on_reopened(): the store was opened again.
+        """
         self.reactor, self.path, self.other_keepers, self.clock, self.log = (
             reactor,
             path,
@@ -50,13 +53,13 @@
         self.sealing.start()
 
     def _seal(self):
-        """A step that seals old purges, so that the next owner of the desk need not read them one by one."""
+        """Seals one batch of old purges, so the next desk owner need not read them one by one."""
         return self._in_thread(lambda: self.store.seal_some(self.terms, SEALED_AT_ONCE) == SEALED_AT_ONCE)
 
-    # ---- the store; blocks
+    # ---- the store; blocking, run in its thread
 
     def _open(self):
-        """What is there, each seal checked; what is damaged is put away, and fetched from the others."""
+        """Opens the store and checks its seals; a damaged one is set aside and refetched."""
         if self.store is not None:
             self.store.close()
             self.store = None
@@ -84,24 +87,26 @@
     def _in_thread(self, call, *args):
         return deferToThreadPool(self.reactor, self.pool, call, *args)
 
-    # ---- told
+    # ---- events
 
     def store_committed(self, index, records):
+        """Writes the records of a committed log entry."""
         self._apply(self.copy.on_committed(self.clock(), index, records))
         if not self.copy.queue and self.copy.writing is None and self.copy.state == record_copy.COMPLETE:
-            self.on_stored(index)  # nothing of it was this copy's
+            self.on_stored(index)  # no record of this copy is pending
 
     def apply_snapshot(self, index, orders):
+        """Compares the copy with the position in a snapshot of the log, and fetches what is missing."""
         newest, seal = {duty: rest for duty, *rest in orders}.get(DUTY, (0, INITIAL_HASH))
         self._apply(self.copy.on_snapshot(self.clock(), index, newest, seal))
 
     def on_message(self, sender, message):
-        """A Fetch or Fetched."""
+        """Handles a Fetch or Fetched message of another keeper."""
         if message.duty != DUTY or sender not in self.other_keepers:
             return
         if isinstance(message, protocol.Fetched):
             self._apply(self.copy.on_fetched(self.clock(), sender, message))
-        elif not self.fetches_served:  # one at a time: who serves is not slowed by who catches up
+        elif not self.fetches_served:  # one at a time, so serving fetches does not slow this keeper
             self.fetches_served += 1
             self._in_thread(self._read_for_fetch, message).addCallbacks(
                 lambda reply: self.send(sender, reply), lambda _: None
@@ -179,21 +184,23 @@
         if not self.stopped:
             self.reactor.callLater(REOPEN_INTERVAL, self._reopen, open_store)
 
-    # ---- asked by who owns the duties on it
+    # ---- used by the duties that need the copy
 
     def describe(self):
+        """[duty, state, newest, floor, seal] for operators."""
         copy = self.copy
         return [DUTY, copy.state, copy.newest, copy.floor, copy.chain_hash.hex()]
 
     def has_all_records(self):
+        """Whether all committed records are in the copy."""
         return self.copy.is_complete()
 
     def is_caught_up(self):
-        """Whether it only has to take in what comes."""
+        """Whether the copy is complete apart from writes in progress."""
         return self.copy.state == record_copy.COMPLETE
 
     def read(self, epoch):
-        """A Deferred of Read, as LocalStore gives it."""
+        """Returns a Deferred of the replayed store, as LocalStore does."""
 
         def reading():
             loaded = self.store.load(self.terms.hold, self.terms.most_sealed)
@@ -202,13 +209,15 @@
         return self._in_thread(reading)
 
     def older(self, timestamp, limit):
+        """Returns a Deferred of PurgeLog.older()."""
         return self._in_thread(self.store.older, timestamp, limit)
 
     def stop(self):
+        """Stops; the store is closed after the queued calls."""
         self.stopped = True
         self.sealing.stop()
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         if self.store is not None:
             self._in_thread(self.store.close).addErrback(lambda _: None)
-        self.pool.stop()  # behind what it was given
+        self.pool.stop()  # after the queued calls
--- a/hookrouter/fleet/member/roster.py
+++ b/hookrouter/fleet/member/roster.py
@@ -1,4 +1,4 @@
-"""This member's view of the fleet on a socket: decisions in view/, its changes in the log and for people."""
+"""This member's view of the fleet over UDP; logs membership changes and describes the view to operators."""
 
 import os
 import time
@@ -9,20 +9,20 @@
 from ..wire.datagrams import Datagrams
 from ..wire.post import Post
 
-LOG_BATCH_DELAY = 0.5  # seconds in which changes are gathered for the log
-MAX_LOG_LINES = 5  # of one gathering, each for one member; of more the log has one line
-MAX_CHANGES_KEPT = 20  # changes of one name that are kept for people
-MAX_NAMES_KEPT = 5_000  # of whom changes are kept
-MAX_MEMBERS_SHOWN = 3_000  # members in one answer: a frame takes them
+LOG_BATCH_DELAY = 0.5  # seconds of changes that are logged together
+MAX_LOG_LINES = 5  # per batch, one for each member; a larger batch is logged as one line
+MAX_CHANGES_KEPT = 20  # changes kept for each member name
+MAX_NAMES_KEPT = 5_000  # member names with kept changes
+MAX_MEMBERS_SHOWN = 3_000  # members in one answer; they fit into a frame
 VERSION = "0.3"
-SHARING_ROLE_SUFFIX = (
-    ", shares"  # in the role of a router that shares: those alone are counted among a zone's
-)
+SHARING_ROLE_SUFFIX = ", shares"  # suffix of a sharing router's role; only those count as routers of a zone
 
 
 class Roster:
+    """Runs the membership protocol on a datagram socket."""
+
     def __init__(self, reactor, fleet, generation, role, clock, log):
-        """fleet: the section of the operator's file."""
+        """fleet: section [fleet] of the operator's file; generation: tells restarts of this member apart."""
         self.reactor, self.clock, self.log = reactor, clock, log
         host, port = fleet["address"] or fleet["listen"]
         self.listen_address = fleet["listen"]
@@ -32,13 +32,14 @@
         self.socket = Datagrams(reactor, fleet["name"], fleet["secret"].value, self._on_datagram, self._count)
         seeds = tuple(seed for seed in seeds if seed != (host, port))
         self.view = View(ViewTerms(seeds=seeds), local_member, clock(), generation)
-        self.on_post = None  # called for what further parts say: name, life, Post
+        self.on_post = None  # called with (name, generation, Post) for other parts' posts
         self.changes, self.unlogged, self.timer, self.stopped, self.logged_settled = {}, [], None, False, None
 
     def _count(self, name):
         self.counters[name] = self.counters.get(name, 0) + 1
 
     def start(self):
+        """Listens and sends the first messages."""
         self.socket.listen(*self.listen_address)
         self._tick()
 
@@ -77,10 +78,10 @@
             )
 
     def post(self, row, topic, data):
-        """A datagram for another part of that member; row: as the view has it. It may be lost."""
+        """Sends a datagram to a part of another member; row: its Member in the view. It may be lost."""
         self.socket.send(self.view.local_member.life, row.name, row.address, Post(topic, data))
 
-    # ---- what is told of it
+    # ---- logging and descriptions
 
     def _on_change(self, changed):
         rows = self.changes.pop(changed.member.name, None) or deque(maxlen=MAX_CHANGES_KEPT)
@@ -93,7 +94,7 @@
         self.unlogged.append(changed)
 
     def _log_changes(self):
-        """A line each for a few; of many one line, and of a whole zone that it is one."""
+        """Logs a few changes one by one, many as a count, and reports a zone that fails as a whole."""
         batch, self.unlogged = self.unlogged, []
         by_state = {}
         for changed in batch:
@@ -122,13 +123,14 @@
                 )
 
     def zones(self, rows):
-        """(zone, how many of those rows, of all known there) where it is half of it or more."""
+        """Returns (zone, count of those rows, all known there) for zones of which they are at least half."""
         zones = sorted({row.zone for row in rows})
         known = [row.zone for row in self.view.members.values() if row.state != protocol.LEFT]
         found = [(zone, sum(row.zone == zone for row in rows), known.count(zone)) for zone in zones]
         return [(zone, lost, total) for zone, lost, total in found if lost >= 3 and 2 * lost >= total]
 
     def describe(self):
+        """The view, as a dict for operators."""
         view = self.view
         view.now = self.clock()
         since = view.settled_since()
@@ -159,7 +161,7 @@
         }
 
     def history(self, name):
-        """What was thought of it here, and why: [(wall ms, life, before, state, incarnation, why, by)]."""
+        """State changes of a member: [wall ms, generation, previous, state, incarnation, reason, sources]."""
         return [
             [
                 wall_ms,
@@ -173,12 +175,14 @@
             for wall_ms, change in self.changes.get(name, ())
         ]
 
-    # ---- the end
+    # ---- shutdown
 
     def leave(self, final):
+        """Tells other members that this one leaves."""
         self._handle(protocol.Leave(final))
 
     def stop(self):
+        """Closes the socket."""
         self.stopped = True
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
--- a/hookrouter/fleet/member/service.py
+++ b/hookrouter/fleet/member/service.py
@@ -1,4 +1,4 @@
-"""A member of the fleet: where it keeps, the keeper's core and its store; and the duties that it holds."""
+"""A fleet member: the keeper core and its store where it is a keeper, and the duties that it holds."""
 
 import sqlite3
 import time
@@ -19,15 +19,17 @@
 from .drill import DrillWorker
 from .roster import SHARING_ROLE_SUFFIX, Roster
 
-REOPEN_INTERVAL = 1.0  # seconds between tries to write again
-WARM_PREFIX = "warm."  # duties of that name and a zone fill a cache that started
-DRILL_PREFIX = "drill/"  # duties of that name are worked in steps at the register of [fleet] drill
+REOPEN_INTERVAL = 1.0  # seconds between attempts to reopen the store
+WARM_PREFIX = "warm."  # prefix, followed by a zone: duties that warm a restarted cache
+DRILL_PREFIX = "drill/"  # prefix: duties whose steps are sent to the register of [fleet] drill
 
 
 class Member:
+    """Connects keeper, lease holder and the parts of a member to sockets, timers and the disk."""
+
     def __init__(self, reactor, log, sections, routes=False):
-        """sections: of the operator's file; [purges] and [desk] beside [fleet]: this keeper has a copy of the
-        order of purges, and bears the desk. routes: this process runs lookups.
+        """sections: of the operator's file. A keeper with [purges] and [desk] has a copy of the purges and
+        can own the desk. routes: this process serves lookups.
         """
         fleet = sections["fleet"]
         self.reactor, self.log, self.fleet = reactor, log, fleet
@@ -37,7 +39,7 @@
         self.peers = Peers(reactor, self.name, dict(keepers), fleet["secret"].value, self.on_message, log)
         self.keeper, self.pool = None, None
         if self.name in keepers:
-            self.pool = ThreadPool(1, 1, "keeper's store")  # one thread: batches reach the disk in order
+            self.pool = ThreadPool(1, 1, "keeper's store")  # one thread, so writes reach the disk in order
             self.pool.start()
             try:
                 stored = self._load_store()
@@ -60,14 +62,14 @@
             DrillWorker(reactor, fleet["drill"], self._report_step, log) if fleet["drill"] else None
         )
         self.spread = None
-        self.warming = None  # who works the duties warm/..., where this member does
-        self.sharing = self.on_parcel = None  # parcelled: called for what further parts say: name, Parcel
+        self.warming = None  # the Warmer, if this member warms caches
+        self.sharing = self.on_parcel = None  # on_parcel: called with (name, Parcel)
         role = ("keeper" if self.keeper else "member") + (
             SHARING_ROLE_SUFFIX if routes and "sharing" in sections else ""
         )
         self.roster = Roster(reactor, fleet, self.terms.generation, role, steady, log)
         self.records = self.port = None
-        self.duty_workers = {}  # duty -> who does it
+        self.duty_workers = {}  # duty -> its worker
         if self.keeper is not None and "desk" in sections:
             try:
                 self._set_up_purges(sections)
@@ -129,6 +131,7 @@
             raise UnusableStore(f"{self.fleet['store']}: {error}") from None
 
     def start(self):
+        """Listens and starts all parts; raises twisted's CannotListenError if a port is taken."""
         self.peers.listen(*self.fleet["listen"])
         if self.records is not None:
             from ...desk.web import serving
@@ -146,7 +149,7 @@
         if self.spread is not None:
             self.spread.start()
 
-    # ---- time
+    # ---- timer
 
     def _tick(self):
         now = steady()
@@ -160,7 +163,7 @@
         self._set_timer()
 
     def _update_duty_kinds(self):
-        """What this member can do now; what it cannot any more it gives up at once."""
+        """Sets the duties that this member can own; gives up at once those that it no longer can."""
         can_own = (
             self.records is not None and self.keeper.state != STORE_FAILED and self.records.is_caught_up()
         )
@@ -174,6 +177,7 @@
                 self.give_up_duty(duty, "its copy cannot be written, or lacks something")
 
     def give_up_duty(self, duty, why):
+        """Releases a duty, so that another member can own it."""
         renew, lost = self.holder.release(steady(), duty, why)
         self._on_lost(lost)
         if renew is not None:
@@ -191,6 +195,7 @@
     # ---- messages
 
     def on_message(self, sender, message):
+        """Dispatches a message of another member, or of this member to itself."""
         if self.stopped:
             return
         if isinstance(message, protocol.Renewed):
@@ -241,7 +246,7 @@
                 self.log(effect.event, **dict(effect.fields))
 
     def _copies(self):
-        """[[duty, state, newest, floor, seal]] of what this keeper has on its own disk."""
+        """[[duty, state, newest, floor, seal]] of this keeper's copies on disk."""
         return [] if self.records is None else [self.records.describe()]
 
     def _start_drill(self, sender, message):
@@ -254,7 +259,7 @@
         self.reactor.callLater(0, setattr, self.peers, "cut_until", until)
         self.roster.socket.cut_until = until
 
-    # ---- copies of records; each call in a turn of its own, for one event at a time goes into the core
+    # ---- copies of records; each call runs in its own reactor turn: the core takes one event at a time
 
     def _store_records(self, effect):
         if self.stopped:
@@ -286,7 +291,7 @@
             self._set_timer()
 
     def _is_stored_up_to(self, index):
-        """Whether all that was agreed up to that entry is in the copy."""
+        """Whether all entries up to this index are applied and in the copy."""
         unfiled = self.keeper.unstored_entries
         return (
             self.keeper.applied >= index
@@ -299,12 +304,12 @@
         return row.step if row is not None else 0
 
     def _owner_address(self, duty):
-        """Of the owner that the log knows last."""
+        """Address of the last owner known from the log, or ""."""
         order = self.keeper.duties.sequences.get(duty)
         return order.address if order is not None else ""
 
     def _send(self, receiver, message):
-        if receiver == self.name:  # its own holder, or its own keeper
+        if receiver == self.name:  # between this member's own holder and keeper
             self.reactor.callLater(0, self.on_message, receiver, message)
         else:
             self.peers.send(receiver, message)
@@ -326,7 +331,7 @@
             )
 
     def _reload_and_probe(self):
-        """Read anew, and room for a batch is shown by writing one: what was there, and nothing more."""
+        """Reloads the store, and proves by a probe write of existing data that it can be written again."""
         stored = self._load_store()
         self.store.probe()
         return stored
@@ -341,7 +346,7 @@
     # ---- duties
 
     def send_to_leader(self, message):
-        """To the leader as far as it is known, else to the keepers in turn."""
+        """Sends to the leader if one is known and heard from, else to the keepers round-robin."""
         if self.leader_name is None or self.holder.leader_silent(steady()):
             names = list(self.fleet["keepers"])
             self.next_keeper += 1
@@ -379,10 +384,10 @@
         else:
             any(commands.on_answer(answer) for commands in self.command_streams.values())
 
-    # ---- the end
+    # ---- shutdown
 
     def leave(self):
-        """Duties are given up at once, so others have them within a round; all are told that it ends."""
+        """Gives up all duties, so others get them within a round, and tells other members that it leaves."""
         if self.holder.leaving or self.stopped:
             return
         renew, lost = self.holder.leave(steady())
@@ -391,7 +396,7 @@
         self.roster.leave(False)
 
     def end(self):
-        """All is closed; the store, too, so it blocks for a moment."""
+        """Closes everything. Closing the store blocks briefly."""
         if self.stopped:
             return
         self.stopped = True
--- a/hookrouter/fleet/member/sharing.py
+++ b/hookrouter/fleet/member/sharing.py
@@ -1,4 +1,4 @@
-"""A member's part in what the fleet shares: decisions of decisions/sharing on its datagrams and streams."""
+"""State shared among routers: runs decisions/sharing over the member's datagrams and streams."""
 
 import msgspec
 from twisted.internet.defer import DeferredList
@@ -12,13 +12,13 @@
 from .list_transfers import ListTransfers
 from .roster import SHARING_ROLE_SUFFIX
 
-LOADS = "load"  # the topic of the exchange's own datagrams
-SOFT_STATE = "soft"  # the topic of the list that a starter pulls
-MAX_POST_BYTES = 900  # bytes of another part's post
+LOADS = "load"  # topic of the exchange's datagrams
+SOFT_STATE = "soft"  # topic of the list that a starting router pulls
+MAX_POST_BYTES = 900  # bytes in a post of another part
 VIEW_CHECK_INTERVAL = (
-    2_500  # 250 ms between looks at a view that changes: who speaks for whom costs some ms at 500
+    2_500  # 250 ms between updates from a changing view: choosing reporters takes some ms at 500 routers
 )
-LENDERS = 2  # neighbours of the zone whom a starter asks
+LENDERS = 2  # routers of the zone that a starting router pulls from
 
 encode = msgspec.msgpack.Encoder().encode
 decode = msgspec.msgpack.Decoder(protocol.Message).decode
@@ -26,9 +26,11 @@
 
 
 class Sharing:
-    """state: what the router tells and takes over. loads(now): [(cache, source or "", sends out, sends
-    started a second)]; learnt() and adopt([SoftState]): soft state, once it has listed() its caches;
-    wait(bool): whether it is not ready yet.
+    """Exchanges loads with the routers of the zone and takes over their soft state at startup.
+
+    state: the router's side. loads(now): [(cache, source or "", sends in flight, sends started per second)];
+    learnt() and adopt([SoftState]): export and import of soft state; listed(): whether the caches are known;
+    wait(bool): sets whether the router is not ready yet.
     """
 
     def __init__(self, reactor, log, section, member, state):
@@ -48,42 +50,42 @@
             None,
             False,
             0,
-        )  # of a start; when the view is of use
+        )  # next_view_check: tenths of a millisecond
         self.subscribe(LOADS, self._on_message)
         self.lend(SOFT_STATE, lambda: encode(self.state.learnt()))
 
     # ---- for other parts of the member
 
     def subscribe(self, topic, handler):
-        """heard(now, sender_name, sender_life, data) for each Post of that topic from one who lives."""
+        """Calls handler(now, sender, generation, data) for each Post of the topic from a live member."""
         self.subscribers[topic] = handler
 
     def post(self, name, topic, data):
-        """Whether it was sent; it may be lost on its way. DatagramTooLong: over 900 bytes."""
+        """Returns whether it was sent; it may still be lost. Raises DatagramTooLong over 900 bytes."""
         if len(data) > MAX_POST_BYTES:
             raise DatagramTooLong(f"{len(data)} bytes of {topic}, {MAX_POST_BYTES} at most")
         return self._post(name, topic, data)
 
     def add_listener(self, listener):
-        """listener.news(now, Summary) for each cache of which there is news, twice a second."""
+        """Calls listener.summary_changed(now, Summary) for each cache with news, twice a second."""
         self.listeners.append(listener)
 
     def lend(self, topic, provider):
-        """make(): bytes of the list that others may pull, or None."""
+        """provider(): returns the bytes of a list that other members may pull, or None."""
         self.transfers.providers[topic] = provider
 
     def pull(self, name, topic, timeout=None):
-        """Deferred of the bytes of that member's list, or of None where they did not come in time."""
+        """Returns a Deferred of the bytes of that member's list, or of None after the timeout."""
         return self.transfers.pull(name, topic, self.terms.pull_within if timeout is None else timeout)
 
     def neighbours(self):
-        """Names of the others of the zone that share, in no order of worth."""
+        """Names of the other sharing routers of the zone, in no particular order."""
         return list(self.exchange.neighbours)
 
-    # ---- life
+    # ---- lifecycle
 
     def start(self):
-        """The router is not ready until neighbours lent what they know, or the time for it is over."""
+        """Starts; the router is not ready until neighbours sent soft state or the timeout expired."""
         self.member.roster.on_post = self._on_post
         self.member.on_parcel = self.transfers.on_parcel
         self.member.peers.find_address = self._find_address
@@ -94,7 +96,7 @@
         self._tick()
 
     def _pull_soft_state(self, now):
-        """Once a neighbour is known it is asked; two where there are two."""
+        """Pulls soft state from up to two neighbours once the first is known."""
         if (
             self.ready_deadline is None
             or self.pull_started
@@ -131,6 +133,7 @@
             self.state.wait(False)
 
     def stop(self):
+        """Stops the exchange and all transfers."""
         self.stopped = True
         self.transfers.stop()
         if self.timer is not None and self.timer.active():
@@ -150,13 +153,13 @@
             )
 
     def _update_neighbours(self, now):
-        """The zone's routers, where the view has changed."""
+        """Passes the zone's routers to the exchange if the view has changed."""
         if self.seen_digest != self.view.digest and now >= self.next_view_check:
             self.seen_digest, self.next_view_check = self.view.digest, now + VIEW_CHECK_INTERVAL
             generations = {}
             for row in sorted(self.view.alive(), key=lambda row: row.key):
                 if row.zone == self.view.local_member.zone and row.role.endswith(SHARING_ROLE_SUFFIX):
-                    generations[row.name] = row.life  # of two lives the later
+                    generations[row.name] = row.life  # of two generations the later
             self.exchange.take(now, protocol.LivingRouters(generations))
 
     def _apply(self, now, effects):
@@ -208,7 +211,7 @@
             handler(steady(), name, generation, post.data)
 
     def describe(self):
-        """The board for people: who tells, and the others' loads by cache."""
+        """For operators: the reporters, and the other routers' loads by cache."""
         now, exchange = steady(), self.exchange
         exchange.now = max(now, exchange.now)
         return {
@@ -241,5 +244,6 @@
         }
 
     def count(self, name, by=1):
+        """Adds to a counter of the member."""
         counters = self.member.roster.counters
         counters[name] = counters.get(name, 0) + by
--- a/hookrouter/fleet/member/spread.py
+++ b/hookrouter/fleet/member/spread.py
@@ -1,4 +1,4 @@
-"""A member's part in spreading load: decisions of decisions/spread between its Control and the exchange."""
+"""Load spreading: connects decisions/spread to the router's Control and to the exchange of loads."""
 
 import msgspec
 
@@ -7,13 +7,15 @@
 from ...decisions.spread.messages import TOPIC, Started
 from ...feed.purges import steady
 
-TICK_INTERVAL = 0.2  # seconds: the list is looked at, shares are asked for, what was found is told
+TICK_INTERVAL = 0.2  # seconds between updates of the cache list, share requests and reports
 encode = msgspec.msgpack.Encoder().encode
 
 
 class Spreading:
-    """What Control asks (others, lead, allowance, sent, tries) by the clock that nobody sets: a lease is
-    looked at with each send, so a process that stood still finds out before its next one.
+    """The fleet view that Control queries (others, lead, allowance, sent, tries).
+
+    Leases are checked against the monotonic clock at each send, so a paused process notices their end before
+    its next send.
     """
 
     def __init__(self, reactor, log, section, sharing, router):
@@ -26,37 +28,44 @@
         self.neighbour_names, self.listed, self.timer, self.stopped = None, {}, None, False
         self.counts = {"posts": 0, "refused": 0}
 
-    # ---- asked by Control; its time is the wall's
+    # ---- called by Control with wall-clock times
 
     def others(self, cache, now):
+        """Returns the other routers' sends in flight at the cache, or None without recent reports."""
         return self.spread.others(cache, steady())
 
     def allowance(self, cache, now, cost):
+        """Returns whether a cold cache may get a send of this cost now, or None if it is not cold."""
         allowed = self.spread.allowance(cache, steady(), cost, now)
         if allowed is False:
             self.counts["refused"] += 1
         return allowed
 
     def sent(self, cache, now, cost):
+        """Charges a send to a cold cache."""
         self.spread.sent(cache, now, cost)
 
     def tries(self, cache, now):
+        """Whether this router may send to the cache; False while another member probes it."""
         return self.spread.tries(cache, steady())
 
-    # ---- life
+    # ---- lifecycle
 
     def start(self):
+        """Subscribes to summaries and messages, and registers with Control."""
         self.sharing.add_listener(self)
         self.sharing.subscribe(TOPIC, self._on_message)
         self._tick()
         self.control.fleet_view = self
 
     def stop(self):
+        """Unregisters from Control."""
         self.stopped, self.control.fleet_view = True, None
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
 
     def summary_changed(self, now, summary):
+        """Takes a new summary of the other routers' load at a cache."""
         self.spread.news(now, summary)
 
     def _tick(self):
@@ -68,7 +77,7 @@
             self.spread.set_members(neighbours)
         health, posts = self.control.health, []
         for row in self.control.edges:
-            # Once one send went well there it is found, though few go there yet.
+            # A slow-start limit above 1 means a send succeeded: the cache is back, though few sends go there.
             in_slow_start = health.slow_start_limit[row] == 1
             cold_age = (
                 -1
@@ -95,7 +104,7 @@
             self.timer = self.reactor.callLater(TICK_INTERVAL, self._tick)
 
     def _update_list(self, now, wall):
-        """Lines of the list as Control has them, those that changed; a start that it took for one, too."""
+        """Passes changed entries of Control's cache list on, including restarts that Control inferred."""
         control, entries = self.control, {}
         for name, row in control.row_by_id.items():
             entries[name] = interface.Cache(
@@ -119,7 +128,7 @@
             self.listed = {entry.id: entry for entry in targets}
 
     def _sends_to(self, entry):
-        """Whether this router sends there: what drains, too, has none of it."""
+        """Whether this router sends to the cache; false for a draining one."""
         terms = self.spread.terms
         return (
             entry.phase == interface.READY
@@ -144,7 +153,7 @@
             self.control.cold.start(row, started_at)
 
     def describe(self):
-        """For people: levels of the others by cache, shares of cold ones, who seeks what."""
+        """For operators: other routers' load levels by cache, shares of cold caches, trickle probes."""
         now, loads = steady(), self.spread.loads
         return {
             "alone": loads.alone(now),
--- a/hookrouter/fleet/member/warming.py
+++ b/hookrouter/fleet/member/warming.py
@@ -1,4 +1,4 @@
-"""A member's part in warming: lists lent and borrowed, the duties warm/CACHE, fills sent as lookups are."""
+"""Cache warming: popularity lists sent and pulled, warming duties owned, fills sent as lookups are."""
 
 import msgspec
 
@@ -15,24 +15,26 @@
     "courses",
     "course",
     "kept",
-)  # topics: two pulled, two posted
-DUTY_PREFIX = "warm."  # and the zone, so that a router of that zone owns it: its lists are of use there
-MAX_DECLARERS = 3  # of a zone's routers that see a start: one could be gone, all would crowd the log
+)  # two pulled topics, two posted ones
+DUTY_PREFIX = "warm."  # followed by the zone, so a router of that zone owns it, whose lists apply
+MAX_DECLARERS = 3  # of a zone's routers that declare a warming: one could be down, all would flood the log
 DECLARE_DELAY = 0.05  # seconds between them
 DROP_DELAY = 2.0  # seconds
-LIST_TRIES, LIST_RETRY_DELAY = 20, 0.1  # looks for a cache on the list, seconds between them
+LIST_TRIES, LIST_RETRY_DELAY = 20, 0.1  # retries until a cache is listed, seconds between
 BORROW_TIMEOUT = 5_000  # 0.5 s for one list
 
 encode = msgspec.msgpack.Encoder().encode
 
 
 class Popular(msgspec.Struct, array_like=True, frozen=True):
+    """A router's popularity list and the warmup plans that it stores for others."""
+
     popularity: messages.PopularityList | None
     plans: list[messages.WarmupPlan]
 
 
 class PlanNote(msgspec.Struct, array_like=True, frozen=True):
-    """One has a course to be kept, or keeps it now."""
+    """Offers a warmup plan to be stored, or confirms that it is stored."""
 
     cache: messages.Text
     fencing_token: messages.Whole
@@ -44,7 +46,7 @@
 
 
 class Warmer:
-    """heed: what the router notes; send(cache, errand fields) -> Deferred of how it ended."""
+    """Declares, owns and supports warmings; heed: the router's record of caches, objects and purges."""
 
     def __init__(self, reactor, log, section, member, router, heed):
         self.reactor, self.log, self.section, self.member = reactor, log, section, member
@@ -64,16 +66,17 @@
         self.sharing.add_listener(self)
 
     def now(self):
+        """Wall-clock time of the router, in tenths of a millisecond."""
         return self.router.now()
 
-    # ---- what others ask of this one
+    # ---- requests of other members
 
     def _popular(self):
         popularity, _ = self.lender.lend(self.now(), "")
         return encode(Popular(popularity, list(self.lender.plans.values())))
 
     def _on_plan_offered(self, now, name, generation, data):
-        """Someone is about to warm: its course is kept here for whoever comes after it."""
+        """Pulls the plan of a warming's owner, to store it for a successor."""
         try:
             note = decode_note(data)
         except msgspec.MsgspecError:
@@ -106,15 +109,15 @@
             run.handle_event(messages.PlanStored(name))
 
     def summary_changed(self, now, summary):
-        """Of all others' sends at a cache, from sharing."""
+        """Takes the load of all other routers at a cache."""
         run = self.runs.get(summary.cache)
         if run is not None:
             run.set_others_load(summary)
 
-    # ---- what this one sees
+    # ---- events of this router
 
     def _on_list(self, before):
-        """A cache of the zone that started: one of the zone's first few by its hash says so."""
+        """Declares the warming of a restarted cache, if this router ranks among the first for it by hash."""
         now, zone = self.now(), self.router.terms.topology.zone
         for name in self.heed.edges(zone, now):
             cache, previous = self.heed.caches[name], before.get(name)
@@ -145,7 +148,7 @@
     # ---- the duty
 
     def on_gained(self, lease):
-        """How far it is known to be done is asked of the keepers first."""
+        """Asks the keepers for the last completed step, then starts the warming."""
         cache = lease.duty.removeprefix(f"{self.duty_kind}/")
         self.commands.submit(DONE, [lease.duty, lease.fencing_token, 0]).addCallbacks(
             self._start_run, self._ignore_lost_duty, callbackArgs=(lease, cache)
@@ -157,8 +160,8 @@
             or result[1] != lease.fencing_token
             or lease.authorize(steady(), None) is None
         ):
-            return  # it is another's by now
-        if cache not in self.heed.caches:  # the feed is late here: without its start no allowance is known
+            return  # another member owns it by now
+        if cache not in self.heed.caches:  # the feed lags: the allowance depends on the cache's start time
             if tries:
                 self.reactor.callLater(LIST_RETRY_DELAY, self._start_run, result, lease, cache, tries - 1)
             else:
@@ -168,16 +171,17 @@
         self.runs[cache].start(result[2])
 
     def on_lost(self, duty):
+        """Aborts the warming of a duty that was lost."""
         run = self.runs.get(duty.removeprefix(f"{self.duty_kind}/"))
         if run is not None:
             run.handle_event(messages.Aborted(messages.LEASE_OVER))
 
     def lenders(self, cache):
-        """Whom to ask, by the shared hash, so that a successor asks the same: routers of the zone."""
+        """Routers of the zone to pull from, ranked by a shared hash, so a successor picks the same ones."""
         return tuple(rank(cache, [self.member.name, *self.sharing.neighbours()])[: self.section["lenders"]])
 
     def borrow(self, lender, cache, callback):
-        """came(lender, PopularityList or None, WarmupPlan or None)."""
+        """Pulls a list; calls callback(lender, PopularityList or None, WarmupPlan or None)."""
         if lender == self.member.name:
             callback(lender, *self.lender.lend(self.now(), cache))
             return
@@ -198,14 +202,16 @@
         callback(lender, popularity, plan)
 
     def offer_plan(self, plan, lenders):
+        """Offers this owner's plan to the lenders, to be stored for a successor."""
         self.own_plans[plan.cache] = plan
         for lender in lenders:
             if lender == self.member.name:
-                self.lender.store_plan(plan)  # others keep it, or it is lost with this process
+                self.lender.store_plan(plan)  # other routers store it too, in case this process dies
             else:
                 self.sharing.post(lender, PLAN_TOPIC, encode(PlanNote(plan.cache, plan.number)))
 
     def report_step(self, run, step):
+        """Reports a completed step to the keepers."""
         self.commands.submit(DONE, [run.lease.duty, run.fencing_token, step]).addCallbacks(
             self._on_reported, self._ignore_lost_duty, callbackArgs=(run, step)
         )
@@ -217,7 +223,7 @@
             run.handle_event(messages.Aborted(messages.LEASE_OVER))
 
     def on_closed(self, run, state, cause):
-        """The duty goes where its work is over, and stays for a successor where only this owner is out."""
+        """Drops the duty if the warming is over; keeps it for a successor if only this owner lost it."""
         if self.runs.get(run.cache) is run:
             del self.runs[run.cache]
         self.own_plans.pop(run.cache, None)
@@ -230,25 +236,28 @@
             **dict(run.counts()),
         )
         if cause not in (messages.LEASE_OVER, messages.OLD_NUMBER):
-            # Those that saw the start a little later must find that the duty is there.
+            # Routers that see the restart a little later must still find the duty declared.
             self.reactor.callLater(DROP_DELAY, self._drop, run.lease.duty)
 
     def _drop(self, duty):
         self.commands.submit(DROP, [duty]).addErrback(self._ignore_lost_duty)
 
     def cold_position(self, cache):
-        """(how many warmings this router knows of, which this is): sources' room is shared out so."""
+        """Returns (count of known warmings, index of this one), by which sources' capacity is divided."""
         names = sorted({*self.runs, *self.lender.plans} & set(self.heed.caches) | {cache})
         cold = [name for name in names if name == cache or self.heed.cold(self.heed.caches[name], self.now())]
         return len(cold), cold.index(cache)
 
     def clock(self):
+        """Monotonic time that leases are checked against."""
         return steady()
 
     def count(self, name, by=1):
+        """Adds to a counter of the router."""
         values = self.router.counters.values
         values[name] = values.get(name, 0) + by
 
     def stop(self):
+        """Stops all warmings of this member."""
         for run in list(self.runs.values()):
             run.stop()
--- a/hookrouter/fleet/member/warming_run.py
+++ b/hookrouter/fleet/member/warming_run.py
@@ -1,4 +1,4 @@
-"""One warming under way in this member: the table's effects carried out, each fill under a live warrant."""
+"""One warming in progress: carries out the effects of decisions/warming, each fill under a live lease."""
 
 from ... import interface
 from ...caches.errands import Errand
@@ -16,14 +16,16 @@
 from ...decisions.warming.planning import Kind
 
 TICK_INTERVAL = 0.02  # seconds
-FILL_TIMEOUT = 40_000  # 4 s: what takes longer helps nobody
-OVERLOAD_SHARE = 0.5  # of the fall multiple, as control's own
-BURST = 1_000  # 100 ms of it at once
-CALM_LATE_SHARE = 0.05  # late lookups in calm
-PART_CANDIDATES, WHOLE_CANDIDATES = 2, 1  # candidates, as control's placing has them
+FILL_TIMEOUT = 40_000  # 4 s; a slower fill is of no use
+OVERLOAD_SHARE = 0.5  # of the overload multiple, as in control
+BURST = 1_000  # 100 ms of the allowance
+CALM_LATE_SHARE = 0.05  # usual share of late lookups
+PART_CANDIDATES, WHOLE_CANDIDATES = 2, 1  # candidate caches per object, as in control's placement
 
 
 class WarmingRun:
+    """Fills a restarted cache while the lease of its warming lasts."""
+
     def __init__(self, warmer, cache, lease):
         self.warmer, self.cache, self.lease, self.fencing_token = warmer, cache, lease, lease.fencing_token
         self.heed, self.router, self.stopped, self.sent = warmer.heed, warmer.router, False, 0
@@ -32,7 +34,7 @@
         self.zone = row.zone
         self.transfer_rate = (
             terms.topology.answer_rate / 10
-        )  # bytes in a tenth of a millisecond, one transfer
+        )  # bytes per tenth of a millisecond of one transfer
         allowance = None
         if row.born:
             cold = ColdCapacity(
@@ -69,10 +71,11 @@
         return max(1, len(self.warmer.sharing.neighbours()) + 1)
 
     def start(self, last_step):
+        """Starts after the last completed step."""
         self.handle_event(messages.Owned(self.fencing_token, last_step, self.warmer.lenders(self.cache)))
         self._tick()
 
-    # ---- the location
+    # ---- state of the location
 
     def _location_state(self):
         heed, now = self.heed, self.warmer.now()
@@ -99,16 +102,14 @@
         )
 
     def on_list_changed(self):
-        """The list of caches has changed."""
+        """Aborts if the cache left, drains or restarted, else updates the fill gate."""
         row, now = self.heed.caches.get(self.cache), self.warmer.now()
         if row is None:
             self.handle_event(messages.Aborted(messages.CACHE_LEFT))
         elif row.phase != interface.READY:
             self.handle_event(messages.Aborted(messages.DRAINED))
         elif self.allowance is not None and row.born > self.allowance.born:
-            self.handle_event(
-                messages.Aborted(messages.CACHE_FAILED)
-            )  # it started anew: that is another warming
+            self.handle_event(messages.Aborted(messages.CACHE_FAILED))  # a restart is another warming
         else:
             self.fill_gate.update(
                 now,
@@ -119,22 +120,26 @@
             )
 
     def set_others_load(self, summary):
+        """Updates the allowance by the load of the other routers."""
         if self.allowance is not None and summary is not None:
             work = self.heed.mean / self.transfer_rate
             self.allowance.set_others(self.warmer.now(), summary.age, summary.others_rate * work / 10_000)
 
     def on_lookup_sent(self, size):
+        """Charges a lookup's send of so many bytes to the allowance."""
         if self.allowance is not None:
             self.allowance.spend_lookup(self.warmer.now(), size / self.transfer_rate)
 
     def on_answer(self, late):
+        """Feeds the overload detector with whether a lookup was late."""
         changed = self.overload.answered(self.warmer.now(), late)
         if changed is not None:
             self.handle_event(messages.OverloadChanged(changed))
 
-    # ---- the table
+    # ---- events and effects
 
     def handle_event(self, event):
+        """Passes an event to the table and carries out its effects."""
         if self.stopped:
             return
         now = self.warmer.now()
@@ -149,7 +154,7 @@
             self.warmer.reactor.callLater(TICK_INTERVAL, self._tick)
 
     def _borrow(self, effect):
-        # In a turn of its own: one event at a time goes into the table.
+        # In its own reactor turn: the table handles one event at a time.
         self.warmer.reactor.callLater(0, self.warmer.borrow, effect.lender, self.cache, self._on_list)
 
     def _on_list(self, lender, popularity, plan):
@@ -166,12 +171,13 @@
         self.warmer.on_closed(self, effect.state, effect.cause)
 
     def stop(self):
+        """Stops without reporting."""
         self.stopped = True
 
     # ---- fills
 
     def _fill(self, effect):
-        """After any wait the first act is to look at the clock: no fill but by a live warrant."""
+        """Sends a fill; the lease is checked first, since time may have passed."""
         fenced = self.lease.authorize(self.warmer.clock(), effect)
         if fenced is None:
             self.warmer.reactor.callLater(0, self.handle_event, messages.Aborted(messages.LEASE_OVER))
@@ -179,7 +185,7 @@
         kind_name, object, part = effect.name
         kind, now = self.router.kinds[kind_name], self.warmer.now()
         self.sent += 1
-        # 16 hex digits as clients' ids have: this router's number, the duty's, the fill's.
+        # 16 hex digits like a client's id: router number, fencing token, fill number.
         router = self.router.terms.topology.number
         trace = f"{router % 65_536:04x}{fenced.fencing_token % (1 << 32):08x}{self.sent % 65_536:04x}"
         errand = Errand(
@@ -225,6 +231,7 @@
         self.handle_event(messages.FillEnded(effect.name, end))
 
     def counts(self):
+        """Counts by outcome, as log fields."""
         return {word.replace(" ", "_"): count for word, count in sorted(self.table.counts.items())}
 
 
--- a/hookrouter/fleet/wire/__init__.py
+++ b/hookrouter/fleet/wire/__init__.py
@@ -1,4 +1,4 @@
-"""Bytes among the members of a fleet: one authenticated stream a pair, bounded, found again by itself."""
+"""Authenticated transport between fleet members: reconnecting, bounded streams, and datagrams."""
 
 from .streams import Peers
 
--- a/hookrouter/fleet/wire/datagrams.py
+++ b/hookrouter/fleet/wire/datagrams.py
@@ -1,8 +1,8 @@
-"""Datagrams between members, each sealed: a stranger's, another fleet's, one that was sent before, or one for
-another member changes nothing.
+"""Authenticated datagrams between members; unauthenticated, replayed and misaddressed ones are dropped.
 
-The seal is HMAC-SHA256 cut to half (RFC 2104, section 5) over sender, its life, receiver, a number that rises
-and the message; a window over the numbers seen refuses what comes again (RFC 4303, section 3.4.3).
+The MAC is HMAC-SHA256 truncated to half (RFC 2104, section 5) over sender, its generation, receiver, an
+increasing sequence number and the message. A window of sequence numbers rejects replays (RFC 4303, section
+3.4.3).
 """
 
 import hmac
@@ -14,16 +14,18 @@
 from .frames import Malformed, decode_sealed
 from .post import Post
 
-MAC_BYTES = 16  # bytes
-MAX_DATAGRAM_BYTES = 1_400  # bytes of a datagram: within one packet of an Ethernet
-REPLAY_WINDOW = 1_024  # numbers behind the highest that may come late
-MAX_SENDERS = 20_000  # whose numbers are kept; beyond them the one heard longest ago goes
+MAC_BYTES = 16
+MAX_DATAGRAM_BYTES = 1_400  # fits into one Ethernet packet
+REPLAY_WINDOW = 1_024  # sequence numbers below the highest that are still accepted
+MAX_SENDERS = 20_000  # with remembered sequence numbers; the least recently heard one is evicted
 
 
 class Frame(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
+    """The content of a datagram after its MAC."""
+
     sender: str
     generation: int
-    receiver: str  # "" where only an address is known
+    receiver: str  # "" if only the address is known
     sequence: int
     message: Message | Post
 
@@ -33,28 +35,31 @@
 
 
 def compute_mac(secret, payload):
+    """Returns the truncated MAC of a payload."""
     return hmac.digest(secret, payload, "sha256")[:MAC_BYTES]
 
 
 def write(secret, *fields):
+    """Encodes a datagram; fields: those of Frame."""
     payload = encode(Frame(*fields))
     return compute_mac(secret, payload) + payload
 
 
 def read(secret, data):
-    """Frame, or Malformed."""
+    """Returns the verified Frame, or raises Malformed."""
     if len(data) > MAX_DATAGRAM_BYTES:
         raise Malformed(f"{len(data)} bytes, {MAX_DATAGRAM_BYTES} at most")
     return decode_sealed(decode, compute_mac(secret, data[MAC_BYTES:]), data)
 
 
 class ReplayFilter:
-    """Numbers that came of each process, so that none counts twice."""
+    """Remembers the sequence numbers received from each process, to reject replays."""
 
     def __init__(self):
-        self.rows = {}  # (sender, life) -> (highest, bits of those behind it)
+        self.rows = {}  # (sender, generation) -> (highest number, bit mask of received ones)
 
     def accept(self, sender, generation, sequence):
+        """Returns whether the sequence number is new, and records it."""
         highest, bits = self.rows.pop((sender, generation), (0, 0))
         if sequence > highest:
             bits = (
@@ -74,7 +79,7 @@
 
 
 class Datagrams(DatagramProtocol):
-    """heard(sender, life, address, message) is called for each sound one."""
+    """A datagram socket; on_message(sender, generation, address, message) gets each valid message."""
 
     def __init__(self, reactor, name, secret, on_message, count):
         self.reactor, self.name, self.secret, self.on_message, self.count = (
@@ -85,10 +90,10 @@
             count,
         )
         self.replays, self.sent_count, self.port = ReplayFilter(), 0, None
-        self.cut_until = 0.0  # of the reactor's clock: a rehearsal
+        self.cut_until = 0.0  # reactor time; traffic is dropped until then, for drills
 
     def listen(self, host, port):
-        """twisted's CannotListenError where it is taken."""
+        """Raises twisted's CannotListenError if the port is taken."""
         self.port = self.reactor.listenUDP(port, self, interface=host, maxPacketSize=MAX_DATAGRAM_BYTES + 1)
 
     def send(self, generation, receiver, address, message):
@@ -102,7 +107,7 @@
         try:
             self.transport.write(data, address)
             self.count("datagrams_sent")
-        except OSError:  # no way there, or its buffer is full: as a datagram that was lost
+        except OSError:  # no route or full buffer: counts as a lost datagram
             self.count("datagrams_not_sent")
 
     def datagramReceived(self, data, address):
--- a/hookrouter/fleet/wire/post.py
+++ b/hookrouter/fleet/wire/post.py
@@ -1,24 +1,27 @@
-"""Envelopes for what further parts of a member say to each other: a topic, and bytes that only that part
-reads.
+"""Envelopes for messages between parts of members: a topic, and bytes that only that part decodes.
 
-So the wire knows no part, and a part that is off costs nothing: what comes for it is counted and dropped.
+The transport needs no knowledge of the parts; messages for a part that is off are counted and dropped.
 """
 
 from typing import Annotated
 
 import msgspec
 
-MAX_POST_BYTES = 1_150  # bytes in a datagram: with head and seal within the 1,400 of one
-MAX_PARCEL_BYTES = 131_072  # bytes in a stream's frame
+MAX_POST_BYTES = 1_150  # data of a datagram: with header and MAC it stays below 1,400 bytes
+MAX_PARCEL_BYTES = 131_072  # data of a frame in a stream
 
 Topic = Annotated[str, msgspec.Meta(min_length=1, max_length=16)]
 
 
 class Post(msgspec.Struct, tag=True, array_like=True, frozen=True):
+    """A message of a part, sent as a datagram."""
+
     topic: Topic
     data: Annotated[bytes, msgspec.Meta(max_length=MAX_POST_BYTES)]
 
 
 class Parcel(msgspec.Struct, tag=True, array_like=True, frozen=True):
+    """A message of a part, sent over a stream."""
+
     topic: Topic
     data: Annotated[bytes, msgspec.Meta(max_length=MAX_PARCEL_BYTES)]
--- a/hookrouter/fleet/wire/streams.py
+++ b/hookrouter/fleet/wire/streams.py
@@ -1,7 +1,7 @@
-"""Streams between members. A frame for whom no stream is up is dropped: what speaks over them says it again.
+"""Authenticated streams between members. A frame without an open stream is dropped: senders retry.
 
-Each side opens with a nonce that the other seals its frames over. One stream each way between two keepers; a
-member that does not listen is answered on its own.
+Each side first sends a nonce, which the other includes in the MAC of its frames. Two keepers have one stream
+in each direction; a member that does not listen is answered on the stream that it opened.
 """
 
 import os
@@ -12,21 +12,21 @@
 from . import frames
 
 CONNECT_TIMEOUT = 1.0  # seconds
-RECONNECT_DELAY = 0.2  # seconds between tries to connect to one member
-IDLE_TIMEOUT = 4.0  # seconds without a byte from the other side: cut without a word, it is opened anew
-HANDSHAKE_TIMEOUT = 2.0  # seconds for a stranger's first sound frame
-MAX_BUFFERED_BYTES = (
-    4_000_000  # bytes in a stream's buffer: the reader hangs, and later frames say the same anew
-)
+RECONNECT_DELAY = 0.2  # seconds between attempts to connect to one member
+IDLE_TIMEOUT = 4.0  # seconds without received data until a stream is considered dead and closed
+HANDSHAKE_TIMEOUT = 2.0  # seconds for the first valid frame on an incoming stream
+MAX_BUFFERED_BYTES = 4_000_000  # in a stream's buffer: the reader hangs, and later frames repeat the content
 MAX_STREAMS = 4_096
-MAX_UNAUTHENTICATED = 64  # streams that have not shown a sound frame yet
+MAX_UNAUTHENTICATED = 64  # incoming streams without a valid frame yet
 
 
 class Stream(Int32StringReceiver):
+    """One connection to another member."""
+
     MAX_LENGTH = frames.MAX_FRAME_BYTES
 
     def __init__(self, peers, name):
-        self.peers, self.name = peers, name  # name: who is expected, or none where it came in
+        self.peers, self.name = peers, name  # name: the expected peer, None if incoming
         self.nonce, self.peer_nonce = os.urandom(frames.NONCE_BYTES), None
         self.sent_count = self.last_sequence = 0
         self.last_received_at, self.pending, self.paused = peers.reactor.seconds(), [], False
@@ -37,7 +37,7 @@
         self.sendString(self.nonce)
         self.peers.on_opened(self)
 
-    # the transport's buffer is over its mark, or under it again
+    # called by the transport when its buffer is above or below the high-water mark
     def pauseProducing(self):
         self.paused = True
 
@@ -83,6 +83,7 @@
             self.peers.on_message(received.sender, received.message)
 
     def send_message(self, message):
+        """Sends a message; keeps a few until the peer's nonce is known, drops it while the buffer is full."""
         if self.peer_nonce is None:
             if len(self.pending) < 64:
                 self.pending.append(message)
@@ -99,27 +100,25 @@
 
 
 class Peers:
-    """heard(sender, message) is called for each sound frame. addresses: {name: (host, port)} of who
-    listens; elsewhere(name): of others, or None.
+    """Streams to all peers; on_message(sender, message) gets each valid frame.
+
+    addresses: {name: (host, port)} of listening members; find_address(name): of others, or None.
     """
 
     def __init__(self, reactor, name, addresses, secret, on_message, log):
         self.reactor, self.name, self.addresses = reactor, name, addresses
         self.secret, self.on_message, self.log = secret, on_message, log
-        self.streams, self.idle_timers, self.last_tried = (
-            {},
-            {},
-            {},
-        )  # name -> stream; stream -> its deadline; name -> when
+        # name -> stream; stream -> timer; name -> time of the last attempt
+        self.streams, self.idle_timers, self.last_tried = {}, {}, {}
         self.connecting, self.port, self.stopped, self.unauthenticated = set(), None, False, 0
         self.find_address = lambda name: None
-        self.cut_until = 0.0  # of the reactor's clock: a rehearsal
+        self.cut_until = 0.0  # reactor time; traffic is dropped until then, for drills
         self.factory = Factory.forProtocol(lambda: None)
         self.factory.buildProtocol = self._incoming
         self.factory.noisy = False
 
     def listen(self, host, port):
-        """twisted's CannotListenError where it is taken."""
+        """Raises twisted's CannotListenError if the port is taken."""
         self.port = self.reactor.listenTCP(port, self.factory, backlog=256, interface=host)
 
     def _incoming(self, address):
@@ -129,6 +128,7 @@
         return Stream(self, None)
 
     def is_cut(self):
+        """Whether a drill has cut this member off."""
         return self.reactor.seconds() < self.cut_until
 
     def send(self, receiver, message):
@@ -162,6 +162,7 @@
         connecting.addBoth(lambda _: self.connecting.discard(receiver))
 
     def on_opened(self, stream):
+        """Registers a new stream and starts its idle timer."""
         if stream.name is not None:
             self.streams[stream.name] = stream
         self.idle_timers[stream] = self.reactor.callLater(
@@ -169,6 +170,7 @@
         )
 
     def on_authenticated(self, stream):
+        """Registers an incoming stream after its first valid frame."""
         self.unauthenticated -= 1
         if stream.name not in self.streams:
             self.streams[stream.name] = stream
@@ -183,10 +185,12 @@
         self.idle_timers[stream] = self.reactor.callLater(IDLE_TIMEOUT / 2, self._check_idle, stream)
 
     def reject(self, stream, why):
+        """Logs an invalid frame and closes its stream."""
         self.log("frame refused", why, level="warn", peer=str(stream.transport.getPeer().host))
         stream.transport.abortConnection()
 
     def on_closed(self, stream):
+        """Removes a closed stream."""
         timer = self.idle_timers.pop(stream, None)
         if timer is not None and timer.active():
             timer.cancel()
