--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,6 @@
-"""Files of tests lie in memory where there is a place for that: a slow disk cost half of the whole run.
+"""Keeps test files in shared memory where available: a slow disk took half of the whole run.
 
-Known red tests are passed over by KNOWN-RED.txt alone, and printed: see known_red.py.
+Tests listed in KNOWN-RED.txt, and only those, are expected to fail; they are printed. See known_red.py.
 """
 
 import os
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,6 +1,6 @@
-"""KNOWN-RED.txt: tests that are red for a real fault, one line each: test | cause | issue.
+"""KNOWN-RED.txt: tests that fail because of a known fault, one line each: test | cause | issue.
 
-CI passes over just these, and prints them; one that passes again has to leave the list.
+CI expects only these to fail and prints them; a test that passes again must be removed from the list.
 """
 
 import re
@@ -8,11 +8,13 @@
 from typing import NamedTuple
 
 NAME = "KNOWN-RED.txt"
-MOST = 3  # lines: they are mended first next time, and more could not be
+MAX_LINES = 3  # lines: few enough to be fixed first in the next round
 
 
 class Red(NamedTuple):
-    test: str  # file::function, its parameters in [] where only these are red
+    """A test that is expected to fail."""
+
+    test: str  # file::function, with its parameters in [] if only these fail
     cause: str
     issue: str
 
@@ -21,16 +23,16 @@
 
 
 class Wrong(ValueError):
-    """What is wrong with the list, and what to do."""
+    """An error in the list, with what to do about it."""
 
 
 def read(root):
-    """The lines of the list in that folder; Wrong where one too many, unclear, or of no test there is."""
+    """Reads the list in that folder; raises Wrong for too many lines, a malformed one or an unknown test."""
     path = Path(root) / NAME
     lines = path.read_text(encoding="utf-8").splitlines() if path.exists() else []
     reds = [parse(line) for line in lines if line.strip()]
-    if len(reds) > MOST:
-        raise Wrong(f"{NAME}: {len(reds)} lines, {MOST} at most; mend the others")
+    if len(reds) > MAX_LINES:
+        raise Wrong(f"{NAME}: {len(reds)} lines, {MAX_LINES} at most; mend the others")
     for red in reds:
         file, _, name = red.test.partition("::")
         source = Path(root) / file
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""The line `run` of the deploy file, watched: one process, no other program, TCP over IPv4 to whom it should."""
+"""The `run` line of the deploy file: one process, no other programs, IPv4 TCP only to the expected peers."""
 
 import json
 import os
@@ -15,7 +15,7 @@
 from standins.ports import free_port
 
 ROOT = Path(__file__).parent.parent
-# Runs the module as `run` does, with an audit hook (PEP 578) that sees each start of a program and each socket.
+# Runs the module like `run`, with an audit hook (PEP 578) that records started programs and sockets.
 WATCHED = """
 import json, os, runpy, sys
 seen = []
@@ -75,14 +75,14 @@
                 process.send_signal(signal.SIGHUP)
                 process.send_signal(signal.SIGUSR1)
                 ask(connection, message(4), 1)
-                below = [
+                children = [
                     Path(f"/proc/{process.pid}/task/{task}/children").read_text()
                     for task in os.listdir(f"/proc/{process.pid}/task")
                 ]
-                assert not any(map(str.strip, below))
+                assert not any(map(str.strip, children))
             process.send_signal(signal.SIGTERM)
-            said = process.communicate(timeout=15)[1]
-            assert process.returncode == 0 and "reloads 1" in said, said
+            stderr = process.communicate(timeout=15)[1]
+            assert process.returncode == 0 and "reloads 1" in stderr, stderr
         finally:
             process.kill()
             process.wait()
@@ -95,7 +95,7 @@
     assert opened["bind"] == [["127.0.0.1", port]]
     assert {tuple(to) for to in opened["connect"]} == {("127.0.0.1", cache.port), ("127.0.0.1", feed.port)}
     assert [event for event, _ in seen if event.partition(".")[2] not in opened] == []
-    # Nothing of a trace is loaded without its section; `node` and `policy` name all that is.
+    # Without [trace] no tracing module is loaded; `node` and `policy` list all loaded files.
     assert files and not any("/trace" in f or "/tracing" in f for f in files)
     named = [ROOT / name for name in deploy["node"] + deploy["policy"]]
     assert all(name.exists() for name in named)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Real processes of a fleet, with faults between them. Safety is asserted always; progress is waited for."""
+"""A fleet of real processes under faults: safety is asserted at all times, progress is waited for."""
 
 import json
 import random
@@ -39,7 +39,7 @@
     assert not any("uncaught" in made.log(name) or "Traceback" in made.log(name) for name in made.names)
 
 
-def goes_on(rig, more=3):
+def makes_progress(rig, more=3):
     done = rig.steps(DUTY)
     return rig.wait(lambda: rig.steps(DUTY) >= done + more)
 
@@ -50,11 +50,11 @@
         number = rig.owners()[DUTY]["number"]
         rig.strike(owner, fault)
         assert rig.wait(lambda n=number: rig.owners().get(DUTY, {}).get("number", 0) > n), fault
-        assert goes_on(rig), fault
+        assert makes_progress(rig), fault
         rig.mend(owner, fault)
-        assert goes_on(rig), fault
+        assert makes_progress(rig), fault
     assert rig.command("hand-over", DUTY)[0] == 0
-    assert goes_on(rig)
+    assert makes_progress(rig)
 
 
 def test_without_a_majority_duties_stop_and_go_on_when_it_is_back(rig):
@@ -62,11 +62,11 @@
         rig.kill(name)
     assert rig.command("status")[0] == 1
     rig.wait(lambda: "duty lost" in rig.log("m0"), 3)
-    still = len(rig.taken())
+    before = len(rig.taken())
     rig.start("k0")
-    assert not rig.wait(lambda: len(rig.taken()) > still + 1, 2)  # one that was on its way may come
+    assert not rig.wait(lambda: len(rig.taken()) > before + 1, 2)  # one step may have been in flight
     rig.start("k1", "k2")
-    assert goes_on(rig)
+    assert makes_progress(rig)
 
 
 def test_a_full_disk_takes_a_keeper_out_and_room_brings_it_back(rig):
@@ -74,7 +74,7 @@
     rig.fill_disk(leader)
     assert rig.wait(lambda: rig.status()["leader"] not in (None, leader))
     assert rig.wait(lambda: "cannot be written" in rig.log(leader))
-    assert goes_on(rig)
+    assert makes_progress(rig)
     rig.free_disk(leader)
     assert rig.wait(lambda: rig.status()["keepers"].get(leader, {}).get("state") == "following")
     commit = rig.status()["keepers"][leader]["commit"]
@@ -86,9 +86,7 @@
     rig.kill(name)
     for path in rig.folder.glob(f"{name}.db*"):
         shutil.copy(path, rig.folder / f"copy-{path.name}")
-    commit = max(
-        row["commit"] for row in rig.status()["keepers"].values()
-    )  # who leads may be asked anew just now
+    commit = max(row["commit"] for row in rig.status()["keepers"].values())  # the leader may be changing
     rig.start(name)
     assert rig.wait(lambda: rig.status()["keepers"].get(name, {}).get("commit", 0) > commit)
     rig.kill(name)
@@ -102,7 +100,7 @@
         lambda: name in rig.status()["keepers"].get(rig.status()["leader"], {}).get("voters", ())
         and "learns anew" in rig.log(name)
     )
-    assert goes_on(rig)
+    assert makes_progress(rig)
 
 
 def test_strangers_other_secrets_and_noise_change_nothing_and_a_store_has_one_process(rig):
@@ -135,7 +133,7 @@
         timeout=20,
     )
     assert ran.returncode == 1 and "no leader" in ran.stdout
-    assert goes_on(rig)
+    assert makes_progress(rig)
 
 
 def test_a_slow_disk_a_flush_that_fails_and_an_owner_whose_clock_runs_slow(tmp_path):
@@ -148,16 +146,16 @@
         lead = made.wait(lambda: made.status()["leader"])
         assert made.command("declare", DUTY)[0] == 0
         assert made.wait(lambda: made.steps(DUTY) > 3)
-        made.shim(lead, flush=2.0)  # leadership moves to one that is quick
+        made.shim(lead, flush=2.0)  # leadership moves to a keeper with a fast disk
         assert made.wait(lambda: made.status()["leader"] not in (None, lead))
-        assert goes_on(made)
+        assert makes_progress(made)
         made.shim(lead)
         lead = made.wait(lambda: made.status()["leader"])
-        made.shim(lead, fail=1)  # it was on disk, and is not believed to be
+        made.shim(lead, fail=1)  # the write is on disk although it is reported as failed
         assert made.wait(lambda: "cannot be written" in made.log(lead))
         assert made.wait(lambda: "keeper writes again" in made.log(lead))
-        assert goes_on(made)
-        owner = made.wait(lambda: holder(made, DUTY))  # none is told while there is no leader
+        assert makes_progress(made)
+        owner = made.wait(lambda: holder(made, DUTY))  # unknown while there is no leader
         if owner != "m0":
             code, said = made.command("hand-over", DUTY, "--to", "m0")
             assert code == 0, (owner, said, made.owners())
@@ -165,9 +163,9 @@
         number = made.owners()[DUTY]["number"]
         made.pause("m0")
         assert made.wait(lambda: made.owners().get(DUTY, {}).get("number", 0) > number)
-        assert goes_on(made)
+        assert makes_progress(made)
         made.resume("m0")
-        assert goes_on(made)
+        assert makes_progress(made)
     finally:
         made.stop()
     assert made.wrong() == []
@@ -184,16 +182,16 @@
                 s.sendto(pieces[sent % 50], ("127.0.0.1", rig.ports["k0"]))
                 sent += 1
             time.sleep(0.001)
-    assert sent > 10_000 and rig.steps(DUTY) > done + 5  # twenty steps a second is the pace
-    told = json.loads(rig.command("members", "--json")[1])["k0"]
-    assert told["counters"]["datagrams_refused"] > 1_000 and goes_on(rig)
+    assert sent > 10_000 and rig.steps(DUTY) > done + 5  # the normal rate is twenty steps per second
+    view = json.loads(rig.command("members", "--json")[1])["k0"]
+    assert view["counters"]["datagrams_refused"] > 1_000 and makes_progress(rig)
 
 
 # ---- routers as members
 
 
 class Fresh(Cache):
-    """Says that the origin has just given it out."""
+    """A cache whose copies have just come from the origin."""
 
     def told(self):
         return (b"X-Since-Ms: %d" % (time.time() * 1_000),)
@@ -205,14 +203,14 @@
         try:
             for name in made.names:
                 ports[name] = free_port()
-                stated = configuration(
+                config = configuration(
                     members(1, endpoint("c0", cache.port), endpoint("o0", cache.port, "origin"), whole=True),
                     listen=f"127.0.0.1:{ports[name]}",
                     feed=f"127.0.0.1:{feed.port}",
                 )
-                stated["settings"]["limits"]["peers"], stated["name"] = True, name
+                config["settings"]["limits"]["peers"], config["name"] = True, name
                 made.configs[name] = tmp_path / f"{name}.json"
-                made.configs[name].write_text(json.dumps(stated))
+                made.configs[name].write_text(json.dumps(config))
             made.start()
             assert made.wait(lambda: holder(made, "purges"))
             counted = {"asked": 0, "satisfied": 0}
@@ -220,12 +218,12 @@
             def lookups(name, count=20):
                 with socket.create_connection(("127.0.0.1", ports[name]), 5) as connection:
                     connection.settimeout(10)
-                    got = ask(connection, b"".join(message(n) for n in range(1, count + 1)), count)
+                    answers = ask(connection, b"".join(message(n) for n in range(1, count + 1)), count)
                 counted["asked"] += count
-                counted["satisfied"] += sum(0 in struct[1] for struct in got.values())
+                counted["satisfied"] += sum(0 in struct[1] for struct in answers.values())
 
             def leased():
-                """Whether each router has a lease of the desk: one that never had takes no copy's word."""
+                """Whether each router has a lease of the desk: one that never had rejects all copies."""
                 code, out = made.command("status", "--json", group="purges")
                 return code == 0 and sum(row["state"] == "live" for row in json.loads(out)["members"]) == 3
 
@@ -254,7 +252,9 @@
                         made.resume(name)
                 assert made.wait(lambda: holder(made, "purges"))
                 assert made.wait(lambda: len(made.status()["keepers"]) == 3)
-            assert counted["asked"] == 480 and counted["satisfied"] >= 470  # each had its one answer
+            assert (
+                counted["asked"] == 480 and counted["satisfied"] >= 470
+            )  # each lookup got exactly one answer
             assert made.command("submit", "--tag", "a", "--json", group="purges")[0] == 0
             for name in made.names:
                 made.processes[name].send_signal(signal.SIGTERM)
@@ -269,8 +269,8 @@
 # ---- the store
 
 
-def stored(tmp_path, name="a", count=6):
-    """A store with some entries, as a keeper made it."""
+def make_store(tmp_path, name="a", count=6):
+    """Creates a keeper's store with some entries."""
     log = KeeperLog(tmp_path / "a.db", name)
     entries = tuple(
         protocol.Entry(1, protocol.COMMAND, ["m#1/1", "declare", [f"d{n}"]]) for n in range(count)
@@ -280,7 +280,7 @@
 
 
 def test_a_store_gives_back_what_was_written_cut_and_folded(tmp_path):
-    log = stored(tmp_path)
+    log = make_store(tmp_path)
     log.write(
         protocol.Persist(2, 2, None, 2, 0, None, (), 4, (protocol.Entry(2, protocol.NOOP),), None, 0, 0)
     )
@@ -307,7 +307,7 @@
 def test_damage_is_told_from_what_was_never_written_and_a_damaged_keeper_neither_votes_nor_counts(
     tmp_path, statement, doubt
 ):
-    stored(tmp_path).close()
+    make_store(tmp_path).close()
     file = sqlite3.connect(tmp_path / "a.db")
     file.execute(statement)
     file.commit()
@@ -324,7 +324,7 @@
 
 
 def test_a_store_that_cannot_be_written_says_so_and_holds_what_it_held(tmp_path):
-    log = stored(tmp_path)
+    log = make_store(tmp_path)
     log.file.execute("PRAGMA max_page_count = 1")
     with pytest.raises(sqlite3.Error):
         log.write(
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known red tests: read, bounded, held against the tests that there are."""
+"""The list of tests that are expected to fail: parsing, its limit, and the check that its tests exist."""
 
 import known_red
 import pytest
@@ -6,7 +6,7 @@
 LINE = "tests/test_it.py::test_one | the cause | 41\n"
 
 
-def listed(tmp_path, text):
+def read_list(tmp_path, text):
     (tmp_path / "tests").mkdir()
     (tmp_path / "tests" / "test_it.py").write_text(
         "def test_one():\n    pass\n\n\ndef test_two(n):\n    pass\n"
@@ -20,7 +20,7 @@
 
 
 def test_a_line_names_its_test_with_all_or_some_of_its_parameters(tmp_path):
-    one, two = listed(tmp_path, LINE + "\ntests/test_it.py::test_two[a] | of a alone | 41\n")
+    one, two = read_list(tmp_path, LINE + "\ntests/test_it.py::test_two[a] | of a alone | 41\n")
     assert one.matches("tests/test_it.py::test_one") and one.matches("tests/test_it.py::test_one[x]")
     assert not one.matches("tests/test_it.py::test_one_more") and not two.matches(
         "tests/test_it.py::test_two[b]"
@@ -41,8 +41,8 @@
 )
 def test_a_fourth_line_one_of_no_test_and_one_without_cause_or_issue_are_refused(tmp_path, text):
     with pytest.raises(known_red.Wrong):
-        listed(tmp_path, text)
+        read_list(tmp_path, text)
 
 
 def test_the_list_of_this_project_can_be_read(request):
-    assert len(known_red.read(request.config.rootpath)) <= known_red.MOST
+    assert len(known_red.read(request.config.rootpath)) <= known_red.MAX_LINES
