--- a/hookrouter/fleet/member/list_transfers.py
+++ b/hookrouter/fleet/member/list_transfers.py
@@ -21,11 +21,8 @@
     def __init__(self, reactor, terms, clock, send, count):
         self.reactor, self.clock, self.send, self.count = reactor, clock, send, count
         self.lender, self.providers = Lender(terms), {}
-        self.pulls, self.timer, self.stopped = (
-            {},
-            None,
-            False,
-        )  # (name, topic) -> [Puller, Deferred, timer]
+        # pulls: (name, topic) -> [Puller, Deferred, timer]
+        self.pulls, self.timer, self.stopped = {}, None, False
 
     def pull(self, name, topic, timeout):
         """Returns a Deferred of the list's bytes, or of None if it does not arrive within the timeout."""
--- a/hookrouter/fleet/member/sharing.py
+++ b/hookrouter/fleet/member/sharing.py
@@ -15,9 +15,8 @@
 LOADS = "load"  # topic of the exchange's datagrams
 SOFT_STATE = "soft"  # topic of the list that a starting router pulls
 MAX_POST_BYTES = 900  # bytes in a post of another part
-VIEW_CHECK_INTERVAL = (
-    2_500  # 250 ms between updates from a changing view: choosing reporters takes some ms at 500 routers
-)
+# 250 ms between updates from a changing view: choosing reporters takes some ms at 500 routers.
+VIEW_CHECK_INTERVAL = 2_500
 LENDERS = 2  # routers of the zone that a starting router pulls from
 
 encode = msgspec.msgpack.Encoder().encode
@@ -46,11 +45,8 @@
         self.transfers = ListTransfers(reactor, self.terms, steady, self._send_piece, self.count)
         self.subscribers, self.listeners = {}, []
         self.seen_digest, self.timer, self.stopped = None, None, False
-        self.ready_deadline, self.pull_started, self.next_view_check = (
-            None,
-            False,
-            0,
-        )  # next_view_check: tenths of a millisecond
+        # ready_deadline, next_view_check: tenths of a millisecond of the monotonic clock
+        self.ready_deadline, self.pull_started, self.next_view_check = None, False, 0
         self.subscribe(LOADS, self._on_message)
         self.lend(SOFT_STATE, lambda: encode(self.state.learnt()))
 
--- a/hookrouter/fleet/member/warming.py
+++ b/hookrouter/fleet/member/warming.py
@@ -10,12 +10,8 @@
 from .command_stream import CommandStream
 from .warming_run import WarmingRun
 
-POPULAR_TOPIC, PLANS_TOPIC, PLAN_TOPIC, STORED_TOPIC = (
-    "popular",
-    "courses",
-    "course",
-    "kept",
-)  # two pulled topics, two posted ones
+# The first two topics are pulled, the others posted.
+POPULAR_TOPIC, PLANS_TOPIC, PLAN_TOPIC, STORED_TOPIC = "popular", "courses", "course", "kept"
 DUTY_PREFIX = "warm."  # followed by the zone, so a router of that zone owns it, whose lists apply
 MAX_DECLARERS = 3  # of a zone's routers that declare a warming: one could be down, all would flood the log
 DECLARE_DELAY = 0.05  # seconds between them
--- a/hookrouter/fleet/member/warming_run.py
+++ b/hookrouter/fleet/member/warming_run.py
@@ -32,9 +32,8 @@
         terms, now = self.router.terms, warmer.now()
         row = self.heed.caches[cache]
         self.zone = row.zone
-        self.transfer_rate = (
-            terms.topology.answer_rate / 10
-        )  # bytes per tenth of a millisecond of one transfer
+        # bytes per tenth of a millisecond of one transfer
+        self.transfer_rate = terms.topology.answer_rate / 10
         allowance = None
         if row.born:
             cold = ColdCapacity(
--- a/hookrouter/log.py
+++ b/hookrouter/log.py
@@ -7,7 +7,7 @@
 import sys
 import time
 
-MAX_BURST = 5  # lines of one kind per period
+MAX_BURST = 5  # lines of one kind per period: enough to recognize the problem
 MAX_DETAIL = 2_000  # characters of a detail; stack traces of this package have some hundreds
 PERIOD = 10.0  # seconds
 TEXT, JSON = "text", "json"
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -252,9 +252,8 @@
                         made.resume(name)
                 assert made.wait(lambda: holder(made, "purges"))
                 assert made.wait(lambda: len(made.status()["keepers"]) == 3)
-            assert (
-                counted["asked"] == 480 and counted["satisfied"] >= 470
-            )  # each lookup got exactly one answer
+            # each lookup got exactly one answer
+            assert counted["asked"] == 480 and counted["satisfied"] >= 470
             assert made.command("submit", "--tag", "a", "--json", group="purges")[0] == 0
             for name in made.names:
                 made.processes[name].send_signal(signal.SIGTERM)
@@ -319,7 +318,9 @@
     assert core.exclusion() == protocol.DATA_LOST
     persist = core.take(0, protocol.Started())[-1]
     log.write(persist)
-    assert log.load().integrity_error == found.integrity_error  # it outlives what it was about
+    assert (
+        log.load().integrity_error == found.integrity_error
+    )  # the error stays after its entries were cut off
     log.close()
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -70,7 +70,7 @@
     c = carry("c", 300.0)  # three at 2/3: a ends 60 later
     engine.run(130)
     assert ends == {"a": 120}
-    link.give_up(c)  # it had 60 over, then two at 1 for 10 more
+    link.give_up(c)  # carried so far: 60 at 2/3, then 10 at 1
     link.give_up(c)
     engine.run(1_000)
     assert ends == {"a": 120, "b": 160} and link.tally.inside == 0
