--- a/benchmarks/capacity/measure_costs.py
+++ b/benchmarks/capacity/measure_costs.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from benchmarks.purges.costs import lookup_cost
-from hookrouter.desk.local_store import replayed
+from hookrouter.desk.local_store import restore_order
 from hookrouter.purges import Guard, Purge, PurgeTerms, slice_codec
 from hookrouter.purges.retention.archive import Archive
 from hookrouter.purges.types import MOST_SEALED
@@ -147,7 +147,7 @@
             log.close()
             began = time.process_time()
             log = PurgeLog(path, must_exist=True)
-            replayed(log.load(), DAY, EPOCH)
+            restore_order(log.load(), DAY, EPOCH)
             points.append(Point("store_read", size, (time.process_time() - began) * MICROSECONDS))
             log.close()
     return points
--- a/benchmarks/capacity/size.py
+++ b/benchmarks/capacity/size.py
@@ -5,7 +5,7 @@
 from hookrouter.decisions.owners.protocol import Settings as KeeperSettings
 from hookrouter.decisions.sharing.protocol import Terms as SharingTerms
 from hookrouter.decisions.view.protocol import Terms as ViewTerms
-from hookrouter.desk.local_store import KEPT, SEALED_AT_ONCE
+from hookrouter.desk.local_store import MIN_UNSEALED, SEAL_BATCH_SIZE
 from hookrouter.feed.renewals import NEWS_IN_LEASE, RENEWALS
 from hookrouter.purges.catalogue import MOST_UNLISTED
 from hookrouter.purges.followers import DRIFT, MOST_FOLLOWERS
@@ -74,7 +74,7 @@
     recent: int = RECENT
     order_names: int = MOST_NAMES
     unlisted: int = MOST_UNLISTED
-    rows_read: int = KEPT + SEALED_AT_ONCE
+    rows_read: int = MIN_UNSEALED + SEAL_BATCH_SIZE
     purges_in_event: int = MOST_IN_EVENT
     desk_members: int = MOST_FOLLOWERS
     drift: float = DRIFT
--- a/hookrouter/command/purges/serving.py
+++ b/hookrouter/command/purges/serving.py
@@ -9,17 +9,17 @@
     from twisted.internet import reactor
     from twisted.internet.error import CannotListenError
 
-    from ...desk.web import site
+    from ...desk.web import publisher_site
     from ...errors.listening import ListenRefused
 
     tell_uncaught(log)
     desk = make(reactor)
     host, port = listen
     try:
-        port = reactor.listenTCP(port, site(desk, secret, submits), backlog=512, interface=host)
+        port = reactor.listenTCP(port, publisher_site(desk, secret, submits), backlog=512, interface=host)
     except CannotListenError as wrong:
         desk.stop()
-        desk.store.end() if submits else None
+        desk.store.release() if submits else None
         raise ListenRefused(f"cannot listen: {wrong}") from None
 
     def ending():
@@ -49,7 +49,7 @@
     sections = sections_of(site_file, "purges", "desk")
     from ...desk.desk import Desk
     from ...desk.local_store import LocalStore
-    from ...desk.paced import paced
+    from ...desk.reconnect_pacing import add_admission
     from ...log import Log
 
     log = Log(form=sections.get("log", {}).get("format", "text"))
@@ -58,9 +58,9 @@
         store = LocalStore(reactor, sections["desk"]["store"], sections["purges"])
         try:
             desk = Desk(reactor, log, sections["purges"], sections["desk"], store, store.read(0))
-            return paced(desk, sections, "desk", log)
+            return add_admission(desk, sections, "desk", log)
         except BaseException:
-            store.end()
+            store.release()
             raise
 
     run(made, sections["desk"]["listen"], sections["purges"]["secret"], True, log)
@@ -74,7 +74,7 @@
     Example: hookrouter purges relay --site relay.ini
     """
     sections = sections_of(site_file, "purges", "relay")
-    from ...desk.paced import paced
+    from ...desk.reconnect_pacing import add_admission
     from ...desk.relay import Relay
     from ...log import Log
     from ...tables.deadlines import Deadlines
@@ -85,6 +85,6 @@
         row = Relay(
             reactor, Deadlines(reactor), log, sections["purges"], sections["relay"], "admission" in sections
         )
-        return paced(row, sections, sections["relay"]["name"], log)
+        return add_admission(row, sections, sections["relay"]["name"], log)
 
     run(made, sections["relay"]["listen"], sections["purges"]["secret"], False, log)
--- a/hookrouter/command/trace.py
+++ b/hookrouter/command/trace.py
@@ -24,11 +24,11 @@
 
 def found(paths):
     """Segments of files and folders, those of one router in their order."""
-    from ..stores.trace_log import segments
+    from ..stores.trace_log import list_segments
 
     files = []
     for path in paths:
-        files += [path for _, path in segments(path)] if os.path.isdir(path) else [path]
+        files += [path for _, path in list_segments(path)] if os.path.isdir(path) else [path]
     if not files:
         raise NoTraceFound(
             f"{', '.join(paths)}: no traces there; " "wanted are NAME.NUMBER.trace or folders of them"
@@ -41,14 +41,14 @@
 
     A life has a header in each of its segments: the first one is told.
     """
-    from ..stores.trace_log import lines
+    from ..stores.trace_log import read_lines
     from ..trace import read_header, read_row
 
     lives = {}  # name -> when its life began
     for path in files:
         name, bad = None, 0
         try:
-            for line in lines(path):
+            for line in read_lines(path):
                 try:
                     if name is None:
                         header = read_header(line)
--- a/hookrouter/desk/admission.py
+++ b/hookrouter/desk/admission.py
@@ -17,21 +17,20 @@
 from ..decisions.admission import Arrival, Gate, Terms, messages, tickets
 from ..feed.purges import steady
 from ..log import Log
-from ..purges import tail as t
-from ..purges import wire
+from ..purges import tail, wire
 from .publisher import FollowRequest, Publisher
-from .web import answer
+from .web import json_response
 
-TICK = 0.01  # seconds between looks while anybody waits
-SHORT = 2 * wire.MOST_IN_EVENT  # purges that a cheap admission is given at most
-SECOND = 10_000
+TICK_INTERVAL = 0.01  # seconds between looks while anybody waits
+MAX_SHORT_TAIL = 2 * wire.MOST_IN_EVENT  # purges that a cheap admission is given at most
+UNITS_PER_SECOND = 10_000
 
 
-class Waiting(NamedTuple):
+class WaitingRequest(NamedTuple):
     """A request of the feed that has not been admitted."""
 
     request: server.Request
-    asked: FollowRequest
+    follow_request: FollowRequest
 
 
 class Admission:
@@ -53,15 +52,15 @@
             name, int(time.time() * 1_000), tickets.derive_key(secret.value), section["share"] / 100
         )
         self.reactor, self.log, self.publisher = reactor, log, publisher
-        known = len(publisher.followers.rows)
-        self.gate = Gate(terms, steady(), known, Random(), elsewhere)
-        self.conns: dict[int, Waiting] = {}  # by a number of its own, the last of which is last
-        self.last = 0
-        self.call = self.wake = None
+        known_followers = len(publisher.followers.rows)
+        self.gate = Gate(terms, steady(), known_followers, Random(), elsewhere)
+        self.waiting: dict[int, WaitingRequest] = {}  # by a number of its own, the last of which is last
+        self.last_connection_id = 0
+        self.tick_call = self.wake_call = None
         self.state = self.gate.state
-        if known:
-            log("admission: returns are paced", known=known)
-            self._look_in(TICK)
+        if known_followers:
+            log("admission: returns are paced", known=known_followers)
+            self._schedule_tick(TICK_INTERVAL)
 
     def facts(self) -> dict[str, Any]:
         """What /v1/status shows of the gate."""
@@ -69,94 +68,104 @@
 
     def stop(self) -> None:
         """Cancels its calls."""
-        for call in (self.call, self.wake):
-            if call is not None and call.active():
-                call.cancel()
+        for delayed in (self.tick_call, self.wake_call):
+            if delayed is not None and delayed.active():
+                delayed.cancel()
 
     # ---- what comes
 
-    def comes(self, request: server.Request, asked: FollowRequest) -> bytes | int:
+    def add_request(self, request: server.Request, follow_request: FollowRequest) -> bytes | int:
         """For a request of the feed; what render gives back. Malformed where its X-Lease is no number."""
-        place = self.publisher.tail.place(asked.position, asked.seen)
-        if place == t.RAISE:
-            self.publisher.raise_epoch(asked.seen)
-            return answer(request, 409, {"error": "come again"}, Retry_After=1)
-        name = (request.getHeader(b"x-member") or request.getClientAddress().host.encode()).decode("latin-1")
-        left = request.getHeader(b"x-lease")
-        left = messages.NO_LEASE if left is None else wire.read_whole(left.decode("latin-1"), "X-Lease")
+        placement = self.publisher.tail.place(follow_request.position, follow_request.highest_epoch)
+        if placement == tail.RAISE:
+            self.publisher.raise_epoch(follow_request.highest_epoch)
+            return json_response(request, 409, {"error": "come again"}, Retry_After=1)
+        member = (request.getHeader(b"x-member") or request.getClientAddress().host.encode()).decode(
+            "latin-1"
+        )
+        lease_left = request.getHeader(b"x-lease")
+        lease_left = (
+            messages.NO_LEASE
+            if lease_left is None
+            else wire.read_whole(lease_left.decode("latin-1"), "X-Lease")
+        )
         ticket = (request.getHeader(b"x-ticket") or b"").decode("latin-1")
-        self.last += 1
-        conn = self.last
-        self.conns[conn] = Waiting(request, asked)
-        request.notifyFinish().addBoth(lambda _: self._gone(conn))
-        how = self._how(asked)
-        self._carry(self.gate.arrived(steady(), Arrival(conn, name[:64], how, left, ticket)))
+        self.last_connection_id += 1
+        connection_id = self.last_connection_id
+        self.waiting[connection_id] = WaitingRequest(request, follow_request)
+        request.notifyFinish().addBoth(lambda _: self._disconnected(connection_id))
+        transfer_kind = self._transfer_kind(follow_request)
+        self._apply(
+            self.gate.arrived(
+                steady(), Arrival(connection_id, member[:64], transfer_kind, lease_left, ticket)
+            )
+        )
         return server.NOT_DONE_YET
 
-    def _how(self, asked: FollowRequest) -> str:
+    def _transfer_kind(self, follow_request: FollowRequest) -> str:
         """By what it costs: a long tail is no cheaper than a snapshot."""
-        tail = self.publisher.tail
-        short = tail.newest.n - asked.position.n <= SHORT
+        order = self.publisher.tail
+        is_short = order.newest.n - follow_request.position.n <= MAX_SHORT_TAIL
         return (
             messages.TAIL
-            if short and tail.place(asked.position, asked.seen) == t.RESUME
+            if is_short and order.place(follow_request.position, follow_request.highest_epoch) == tail.RESUME
             else messages.SNAPSHOT
         )
 
-    def _gone(self, conn: int) -> None:
-        if self.conns.pop(conn, None) is not None:
-            self._carry(self.gate.disconnected(steady(), conn))
+    def _disconnected(self, connection_id: int) -> None:
+        if self.waiting.pop(connection_id, None) is not None:
+            self._apply(self.gate.disconnected(steady(), connection_id))
 
     # ---- what is done
 
-    def _carry(self, effects: list) -> None:
+    def _apply(self, effects: list) -> None:
         for effect in effects:
-            waiting = self.conns.get(effect.conn)
-            if waiting is None:
-                self._later(self.gate.disconnected, effect.conn)
+            waiting_request = self.waiting.get(effect.conn)
+            if waiting_request is None:
+                self._apply_later(self.gate.disconnected, effect.conn)
             elif isinstance(effect, messages.Admit):
-                self._admit(effect.conn, waiting)
+                self._admit(effect.conn, waiting_request)
             elif isinstance(effect, messages.Defer):
-                del self.conns[effect.conn]
-                self._turn_away(waiting.request, effect)
+                del self.waiting[effect.conn]
+                self._send_defer(waiting_request.request, effect)
             else:
-                del self.conns[effect.conn]
+                del self.waiting[effect.conn]
                 self.publisher.count("followers_shut")
-                waiting.request.channel.forceAbortClient()
+                waiting_request.request.channel.forceAbortClient()
         now = steady()
         due = self.gate.next_wake(now)
-        if due is not None and (self.wake is None or not self.wake.active()):
-            self.wake = self.reactor.callLater((due - now) / SECOND, self._wake)
-        if self.call is None and not self.gate.is_idle():
-            self._look_in(TICK)
+        if due is not None and (self.wake_call is None or not self.wake_call.active()):
+            self.wake_call = self.reactor.callLater((due - now) / UNITS_PER_SECOND, self._admit_next)
+        if self.tick_call is None and not self.gate.is_idle():
+            self._schedule_tick(TICK_INTERVAL)
         if self.state != self.gate.state:
-            before, self.state = self.state, self.gate.state
-            self.log(f"admission: {self.state}", was=before, waiting=len(self.gate.queue))
+            previous_state, self.state = self.state, self.gate.state
+            self.log(f"admission: {self.state}", was=previous_state, waiting=len(self.gate.queue))
 
-    def _later(self, call: Callable, *args: object) -> None:
+    def _apply_later(self, handler: Callable, *args: object) -> None:
         """In the reactor's next turn: what was admitted may end before the gate has returned."""
-        self.reactor.callLater(0, lambda: self.publisher.stopped or self._carry(call(steady(), *args)))
+        self.reactor.callLater(0, lambda: self.publisher.stopped or self._apply(handler(steady(), *args)))
 
-    def _admit(self, conn: int, waiting: Waiting) -> None:
+    def _admit(self, connection_id: int, waiting_request: WaitingRequest) -> None:
         publisher, now = self.publisher, steady()
-        self.gate.set_transfer(now, self._how(waiting.asked))
-        request = waiting.request
+        self.gate.set_transfer(now, self._transfer_kind(waiting_request.follow_request))
+        request = waiting_request.request
         request.setHeader(b"Content-Type", b"text/event-stream")
         request.setHeader(b"Cache-Control", b"no-store")
         request.setHeader(b"X-Fleet", b"%d" % max(self.gate.expected, len(self.gate.returned)))
 
-        def given() -> None:
-            self._later(self.gate.completed, conn, steady() - now)
+        def caught_up() -> None:
+            self._apply_later(self.gate.completed, connection_id, steady() - now)
 
-        if not publisher.follow(request, waiting.asked, given):
-            del self.conns[conn]
-            self._later(self.gate.completed, conn, 1)
-            request.write(answer(request, 409, {"error": "come again"}, Retry_After=1))
+        if not publisher.follow(request, waiting_request.follow_request, caught_up):
+            del self.waiting[connection_id]
+            self._apply_later(self.gate.completed, connection_id, 1)
+            request.write(json_response(request, 409, {"error": "come again"}, Retry_After=1))
             request.finish()
 
-    def _turn_away(self, request: server.Request, reply: messages.Defer) -> None:
+    def _send_defer(self, request: server.Request, reply: messages.Defer) -> None:
         fields = {
-            "Retry_After": -(-reply.wait // SECOND),
+            "Retry_After": -(-reply.wait // UNITS_PER_SECOND),
             "X_Wait": reply.wait,
             "X_Fleet": reply.fleet_size,
             "X_Late": int(reply.late),
@@ -165,19 +174,19 @@
             fields["X_Ticket"] = reply.ticket
         if reply.elsewhere:
             fields["X_Elsewhere"] = reply.elsewhere
-        request.write(answer(request, 503, {"error": "come when told"}, **fields))
+        request.write(json_response(request, 503, {"error": "come when told"}, **fields))
         request.finish()
 
     # ---- time
 
-    def _look_in(self, seconds: float) -> None:
-        self.call = self.reactor.callLater(seconds, self._look)
+    def _schedule_tick(self, seconds: float) -> None:
+        self.tick_call = self.reactor.callLater(seconds, self._tick)
 
-    def _look(self) -> None:
-        self.call = None
+    def _tick(self) -> None:
+        self.tick_call = None
         if not self.publisher.stopped:
-            self._carry(self.gate.tick(steady()))
+            self._apply(self.gate.tick(steady()))
 
-    def _wake(self) -> None:
+    def _admit_next(self) -> None:
         if not self.publisher.stopped:
-            self._carry(self.gate.admit_next(steady()))
+            self._apply(self.gate.admit_next(steady()))
--- a/hookrouter/desk/clock.py
+++ b/hookrouter/desk/clock.py
@@ -5,7 +5,7 @@
 
 from ..feed.purges import steady
 
-SECOND = 10_000  # tenths of a millisecond
+UNITS_PER_SECOND = 10_000  # tenths of a millisecond
 
 
 class Clock:
@@ -14,10 +14,13 @@
     def __init__(self, wall: Callable[[], float] = time.time, steady: Callable[[], int] = steady) -> None:
         """wall: seconds since 1970; steady: tenths of a millisecond of a clock that no one sets."""
         self.wall, self.steady = wall, steady
-        self.at, self.since = int(wall() * SECOND), steady()
+        self.now, self.last_steady = int(wall() * UNITS_PER_SECOND), steady()
 
     def __call__(self) -> int:
         """The time now."""
-        since = self.steady()
-        self.at, self.since = max(self.at + since - self.since, int(self.wall() * SECOND)), since
-        return self.at
+        steady_now = self.steady()
+        self.now, self.last_steady = (
+            max(self.now + steady_now - self.last_steady, int(self.wall() * UNITS_PER_SECOND)),
+            steady_now,
+        )
+        return self.now
--- a/hookrouter/desk/local_store.py
+++ b/hookrouter/desk/local_store.py
@@ -14,28 +14,30 @@
 from ..purges.tail import RECENT, Tail
 from ..purges.types import Purge
 from ..stores import PurgeLog, UnusableStore
-from ..stores.purge_log import Loaded
-from ..stores.purge_slices import Terms
-from .store import Read
+from ..stores.purge_log import LoadedPurges
+from ..stores.purge_slices import SealingTerms
+from .store import RestoredOrder
 
-KEPT = RECENT + MOST_ITEMS  # newest purges that are not sealed: whole submissions of all that a tail keeps
-SEALED_AT_ONCE = 500  # purges in one step: some milliseconds of the store's thread
+MIN_UNSEALED = (
+    RECENT + MOST_ITEMS
+)  # newest purges that are not sealed: whole submissions of all that a tail keeps
+SEAL_BATCH_SIZE = 500  # purges in one step: some milliseconds of the store's thread
 
 
-def replayed(loaded: Loaded, hold: int, epoch: int) -> Read:
+def restore_order(loaded: LoadedPurges, hold: int, epoch: int) -> RestoredOrder:
     """What a store held, for a life of that epoch. hold: as in PurgeTerms."""
     sealed = loaded.sealed
-    tail, keys = Tail(hold, epoch, max(loaded.floor, sealed.n), archive=sealed.archive), {}
+    tail, keys = Tail(hold, epoch, max(loaded.floor, sealed.through), archive=sealed.archive), {}
     tail.recall(sealed.exact, sealed.firsts)
     for purge, key in loaded.rows:
         tail.add(purge)
         keys[key] = (*keys.get(key, ()), purge)
-    return Read(tail, keys, loaded)
+    return RestoredOrder(tail, keys, loaded)
 
 
-def sealing_terms(purges: Mapping[str, Any]) -> Terms:
+def sealing_terms(purges: Mapping[str, Any]) -> SealingTerms:
     """How a store seals. purges: section of the operator's file."""
-    return Terms(purges["hold"], purges["sealed"], KEPT)
+    return SealingTerms(purges["hold"], purges["sealed"], MIN_UNSEALED)
 
 
 class LocalStore:
@@ -52,53 +54,53 @@
         self.pool = ThreadPool(1, 1, "store")  # one thread: what it is given happens in order
         self.pool.start()
 
-    def read(self, least: int) -> Read:
+    def read(self, min_epoch: int) -> RestoredOrder:
         """All of it under a new epoch, at least least; blocks. UnusableStore names the file and the fault."""
         self.store = PurgeLog(self.path)
         try:
             loaded = self.store.load(self.terms.hold, self.terms.most_sealed)
-            epoch = self.store.begin(max(least, int(time.time() * 1_000)))
-        except sqlite3.Error as wrong:
+            epoch = self.store.begin_epoch(max(min_epoch, int(time.time() * 1_000)))
+        except sqlite3.Error as error:
             self.store.close()
-            raise UnusableStore(f"{self.path}: {wrong}") from None
+            raise UnusableStore(f"{self.path}: {error}") from None
         except BaseException:
             self.store.close()
             raise
-        return replayed(loaded, self.terms.hold, epoch)
+        return restore_order(loaded, self.terms.hold, epoch)
 
-    def _threaded(self, call: Callable, *args: object) -> Deferred:
+    def _run_in_thread(self, call: Callable, *args: object) -> Deferred:
         return deferToThreadPool(self.reactor, self.pool, call, *args)
 
-    def reopen(self, least: int) -> Deferred[Read]:
+    def reopen(self, min_epoch: int) -> Deferred[RestoredOrder]:
         """As read, in the thread: behind what is being written."""
-        return self._threaded(self._reread, least)
+        return self._run_in_thread(self._close_and_read, min_epoch)
 
-    def _reread(self, least: int) -> Read:
+    def _close_and_read(self, min_epoch: int) -> RestoredOrder:
         self.store.close()
-        return self.read(least)
+        return self.read(min_epoch)
 
     def append(self, batch: tuple[tuple[Purge, str], ...]) -> Deferred[None]:
         """The next purges of the order, each with the key of its submission."""
-        return self._threaded(self.store.append, batch)
+        return self._run_in_thread(self.store.append, batch)
 
-    def fold(self, upto: int) -> Deferred[None]:
+    def truncate(self, up_to: int) -> Deferred[None]:
         """Forgets all up to that number."""
-        return self._threaded(self.store.fold, upto)
+        return self._run_in_thread(self.store.truncate, up_to)
 
     def seal(self) -> Deferred[bool]:
         """A step that seals old purges; whether more of them wait."""
-        return self._threaded(self.store.seal_some, self.terms, SEALED_AT_ONCE).addCallback(
-            lambda count: count == SEALED_AT_ONCE
+        return self._run_in_thread(self.store.seal_batch, self.terms, SEAL_BATCH_SIZE).addCallback(
+            lambda count: count == SEAL_BATCH_SIZE
         )
 
     def update_followers(self, joined: list[tuple[str, int]], left: list[str]) -> Deferred[None]:
         """joined: (name, generation) of those to be remembered; left: names of those to be forgotten."""
-        return self._threaded(self.store.update_followers, joined, left)
+        return self._run_in_thread(self.store.update_followers, joined, left)
 
     def close(self) -> Deferred[None]:
         """Closes the file behind all that was asked before."""
-        return self._threaded(self.store.close)
+        return self._run_in_thread(self.store.close)
 
-    def end(self) -> None:
+    def release(self) -> None:
         """After close has fired, or where nothing was read."""
         self.pool.stop()
--- a/hookrouter/desk/publisher.py
+++ b/hookrouter/desk/publisher.py
@@ -10,7 +10,7 @@
 
 from ..feed.purges import steady
 from ..log import Log
-from ..purges import tail as t
+from ..purges import tail as purge_tail
 from ..purges import wire
 from ..purges.followers import Followers, Renewal
 from ..purges.types import START, Position
@@ -19,18 +19,18 @@
 if TYPE_CHECKING:
     from .admission import Admission
 
-BEAT = 0.5  # seconds between heartbeats: four in the shortest silence that a follower bears
-LOOK = 0.002  # seconds until a look whether purges are in effect
-MOST_STREAMS = 2_000  # followers of one desk or relay; more hang off relays
-FORMER_FOLLOWER = "follower of a former version cannot be given sealed purges, turned away; update it"
+HEARTBEAT_INTERVAL = 0.5  # seconds between heartbeats: four in the shortest silence that a follower bears
+SETTLE_DELAY = 0.002  # seconds until a look whether purges are in effect
+MAX_STREAMS = 2_000  # followers of one desk or relay; more hang off relays
+OUTDATED_FOLLOWER = "follower of a former version cannot be given sealed purges, turned away; update it"
 
 
 class FollowRequest(NamedTuple):
     """A follower that asks for the order. seen: the highest epoch that it has heard of."""
 
     position: Position
-    seen: int
-    whole: Position | None  # up to there it has all that is sealed; None: it knows no slices
+    highest_epoch: int
+    sealed_through: Position | None  # up to there it has all that is sealed; None: it knows no slices
 
 
 class Publisher:
@@ -38,7 +38,7 @@
     millisecond), and override what differs between them.
     """
 
-    tail: t.Tail
+    tail: purge_tail.Tail
     followers: Followers
     clock: Callable[[], int]
 
@@ -47,16 +47,16 @@
         self.reactor, self.log = reactor, log
         self.streams: dict[Stream, bool] = {}  # Stream -> True, in the order in which they came
         self.counters: dict[str, int] = {}
-        self.last: tuple[wire.Event | None, bytes] = None, b""  # the event written last, and as bytes
-        self.settle_call, self.settling = None, False  # settling: a look is due in a moment
+        self.last_encoded: tuple[wire.Event | None, bytes] = None, b""  # the event written last, and as bytes
+        self.settle_call, self.settle_scheduled = None, False  # settling: a look is due in a moment
         self.stopped = False
         self.admission: Admission | None = None  # with [admission]: what paces those that come
 
-    def encoded(self, event: wire.Event) -> bytes:
+    def encode(self, event: wire.Event) -> bytes:
         """The event as it is written; most followers are written the same one after the other."""
-        if event != self.last[0]:
-            self.last = event, b"data: " + wire.write(event) + b"\n\n"
-        return self.last[1]
+        if event != self.last_encoded[0]:
+            self.last_encoded = event, b"data: " + wire.write(event) + b"\n\n"
+        return self.last_encoded[1]
 
     def count(self, name: str) -> None:
         """One more of that counter."""
@@ -64,7 +64,7 @@
 
     def start(self) -> None:
         """Heartbeats begin."""
-        self._beat()
+        self._heartbeat()
 
     def stop(self) -> None:
         """Cuts all followers and admits none."""
@@ -72,15 +72,15 @@
         if self.admission is not None:
             self.admission.stop()
         for stream in list(self.streams):
-            stream.cut()
+            stream.abort()
 
-    def _beat(self) -> None:
+    def _heartbeat(self) -> None:
         if self.stopped:
             return
         for stream in list(self.streams):
-            stream.beat()
+            stream.heartbeat()
         self.tick()
-        self.reactor.callLater(BEAT, self._beat)
+        self.reactor.callLater(HEARTBEAT_INTERVAL, self._heartbeat)
 
     def tick(self) -> None:
         """Twice a second; for subclasses."""
@@ -89,10 +89,10 @@
         """Whether followers can be served yet."""
         return True
 
-    def raise_epoch(self, seen: int) -> None:
+    def raise_epoch(self, highest_epoch: int) -> None:
         """A follower has heard of the epoch seen, a later life of the desk; only the desk can do anything."""
 
-    def noted(self, name: str, generation: int) -> bool:
+    def is_stored(self, name: str, generation: int) -> bool:
         """Whether that name would outlive a crash of this process; if not, it soon does."""
         raise NotImplementedError
 
@@ -101,23 +101,33 @@
 
     # ---- followers
 
-    def follow(self, request: Request, asked: FollowRequest, given: Callable[[], None] | None = None) -> bool:
+    def follow(
+        self, request: Request, follow_request: FollowRequest, on_caught_up: Callable[[], None] | None = None
+    ) -> bool:
         """A follower's connection from its place on; False where it has to come again. given: see Stream."""
-        place = self.tail.place(asked.position, asked.seen)
-        if place == t.RAISE:
-            self.raise_epoch(asked.seen)
+        placement = self.tail.place(follow_request.position, follow_request.highest_epoch)
+        if placement == purge_tail.RAISE:
+            self.raise_epoch(follow_request.highest_epoch)
             return False
-        if len(self.streams) >= MOST_STREAMS:
+        if len(self.streams) >= MAX_STREAMS:
             self.log("more followers than one can tell, turned away")
             return False
-        snapshot = None if place == t.RESUME else self.tail.snapshot(asked.whole or START)
-        if snapshot is not None and snapshot.slices and asked.whole is None:
-            self.log(FORMER_FOLLOWER, level="error")
+        snapshot = (
+            None
+            if placement == purge_tail.RESUME
+            else self.tail.snapshot(follow_request.sealed_through or START)
+        )
+        if snapshot is not None and snapshot.slices and follow_request.sealed_through is None:
+            self.log(OUTDATED_FOLLOWER, level="error")
             self.count("followers_of_a_former_version")
             return False
         self.count("followers_resumed" if snapshot is None else "followers_given_snapshots")
         stream = Stream(
-            self, request, asked.position.n if snapshot is None else self.tail.newest.n, snapshot, given
+            self,
+            request,
+            follow_request.position.n if snapshot is None else self.tail.newest.n,
+            snapshot,
+            on_caught_up,
         )
         self.streams[stream] = True
         request.notifyFinish().addBoth(lambda _: stream.close())
@@ -134,50 +144,50 @@
             if not stream.pumping:
                 stream.pump()
 
-    def renew(self, asked: wire.Renew) -> wire.Granted | None:
+    def renew(self, request: wire.Renew) -> wire.Granted | None:
         """wire.Granted, or None where the follower is not one to be had."""
         now = steady()
-        if asked.leave:
-            self.followers.left(asked.name, asked.generation)
-            self.follower_left(asked.name)
+        if request.leave:
+            self.followers.left(request.name, request.generation)
+            self.follower_left(request.name)
             self.settle()
             return self._granted(0)
         # Else a crash would leave a lease behind of which nobody knows.
-        if not self.noted(asked.name, asked.generation):
+        if not self.is_stored(request.name, request.generation):
             return self._granted(0)
-        on_branch = self.tail.place(Position(asked.epoch, asked.n), asked.seen) == t.RESUME
-        known = self.followers.rows.get(asked.name)
-        before = None if known is None else known.generation
+        on_branch = self.tail.place(Position(request.epoch, request.n), request.seen) == purge_tail.RESUME
+        known = self.followers.rows.get(request.name)
+        known_generation = None if known is None else known.generation
         renewal = Renewal(
-            asked.name,
-            asked.generation,
+            request.name,
+            request.generation,
             on_branch,
-            min(asked.n, asked.least),
-            asked.all,
-            asked.skew,
-            asked.relay,
+            min(request.n, request.least),
+            request.all,
+            request.skew,
+            request.relay,
         )
-        span = self.followers.renew(now, renewal, self.tail.newest.n, self.span_left())
+        span = self.followers.renew(now, renewal, self.tail.newest.n, self.lease_left())
         if span is None:
             self.count("members_refused")
             return None
-        if before != asked.generation:
-            self.log("member joined", name=asked.name, generation=asked.generation)
+        if known_generation != request.generation:
+            self.log("member joined", name=request.name, generation=request.generation)
         self.settle()
         return self._granted(span)
 
     def _granted(self, span: int) -> wire.Granted:
         return wire.Granted(span, self.tail.epoch, self.clock(), self.followers.settling())
 
-    def span_left(self) -> int | None:
+    def lease_left(self) -> int | None:
         """The rest of the lease held here, which bounds those of the followers; None: nothing does."""
         return None
 
     def settle(self) -> None:
         """Looks what is in effect in a moment: many answer for one purge at once, and each look asks all."""
-        if not self.settling:
-            self.settling = True
-            self._settle_in(LOOK)
+        if not self.settle_scheduled:
+            self.settle_scheduled = True
+            self._settle_in(SETTLE_DELAY)
 
     def _settle_in(self, seconds: float) -> None:
         if self.settle_call is not None and self.settle_call.active():
@@ -185,15 +195,15 @@
         self.settle_call = self.reactor.callLater(seconds, self._settle)
 
     def _settle(self) -> None:
-        self.settling = False
+        self.settle_scheduled = False
         now = steady()
-        for n, accepted, at in self.followers.settle(now):
-            self.in_effect(n, accepted, at)
+        for number, accepted_at, effective_at in self.followers.settle(now):
+            self.in_effect(number, accepted_at, effective_at)
         due = self.followers.due(now)
         if due is not None and not self.stopped:
-            self._settle_in(max(LOOK, (due - now) / 10_000))
+            self._settle_in(max(SETTLE_DELAY, (due - now) / 10_000))
 
-    def in_effect(self, n: int, accepted: int, at: int) -> None:
+    def in_effect(self, number: int, accepted_at: int, effective_at: int) -> None:
         """Purge n, accepted then, is in effect from at on, by the steady clock; for subclasses."""
 
     # ---- what is shown
--- a/hookrouter/desk/recent.py
+++ b/hookrouter/desk/recent.py
@@ -7,16 +7,16 @@
 from ..purges.followers import Followers
 from ..purges.types import Purge
 
-MOST_LATEST = 10_000  # purges whose numbers and times are shown on request
-MOST_BEHIND = 100  # followers that one answer names
+MAX_RECENT = 10_000  # purges whose numbers and times are shown on request
+MAX_BEHIND = 100  # followers that one answer names
 
 
-class Recent(NamedTuple):
+class RecentPurge(NamedTuple):
     """One of them. at: the steady time at which it was accepted; None: by a former life of the desk."""
 
     purge: Purge
-    wall: int  # when it was accepted, by the desk's clock
-    at: int | None
+    accepted_at: int  # when it was accepted, by the desk's clock
+    accepted_steady: int | None
     key: str  # of its submission
 
 
@@ -25,8 +25,8 @@
 
     def __init__(self) -> None:
         """Knows none yet."""
-        self.rows: dict[int, Recent] = {}  # the newest last
-        self.effects: dict[int, int] = {}  # n -> wall time from which it is in effect
+        self.rows: dict[int, RecentPurge] = {}  # the newest last
+        self.effective_at: dict[int, int] = {}  # n -> wall time from which it is in effect
 
     def recall(self, stored: Iterable[tuple[Purge, str]]) -> None:
         """The purges of a store, each with its key, in place of all; those of this life stay as known."""
@@ -34,54 +34,58 @@
         for purge, key in stored:
             row = known.get(purge.n)
             # The time of the order stands in for that of the acceptance, which is after it by one write.
-            same = row is not None and row.purge == purge
-            self.rows[purge.n] = row if same else Recent(purge, purge.timestamp, None, key)
-        self.effects = {n: at for n, at in self.effects.items() if self.rows.get(n) == known.get(n)}
+            is_same = row is not None and row.purge == purge
+            self.rows[purge.n] = row if is_same else RecentPurge(purge, purge.timestamp, None, key)
+        self.effective_at = {
+            number: effective
+            for number, effective in self.effective_at.items()
+            if self.rows.get(number) == known.get(number)
+        }
 
-    def add(self, now: int, wall: int, purges: Iterable[Purge], keys: Iterable[str]) -> None:
+    def add(self, now: int, wall_now: int, purges: Iterable[Purge], keys: Iterable[str]) -> None:
         """Accepted now, by the steady clock. keys: of their submissions, one for each."""
         for purge, key in zip(purges, keys):
             self.rows.pop(purge.n, None)  # of before a store was restored
-            self.effects.pop(purge.n, None)
-            self.rows[purge.n] = Recent(purge, wall, now, key)
-        while len(self.rows) > MOST_LATEST:
-            n = next(iter(self.rows))
-            del self.rows[n]
-            self.effects.pop(n, None)
+            self.effective_at.pop(purge.n, None)
+            self.rows[purge.n] = RecentPurge(purge, wall_now, now, key)
+        while len(self.rows) > MAX_RECENT:
+            number = next(iter(self.rows))
+            del self.rows[number]
+            self.effective_at.pop(number, None)
 
-    def in_effect(self, n: int, wall: int) -> None:
+    def in_effect(self, number: int, effective: int) -> None:
         """Purge n is in effect from that time on."""
-        if n in self.rows:
-            self.effects[n] = wall
+        if number in self.rows:
+            self.effective_at[number] = effective
 
-    def newest(self, most: int) -> list[int]:
+    def newest(self, limit: int) -> list[int]:
         """Numbers of so many of the newest, the newest last."""
-        return list(self.rows)[-most:]
+        return list(self.rows)[-limit:]
 
-    def facts(self, n: int, now: int, recalled: int, followers: Followers) -> dict[str, Any] | None:
+    def facts(self, number: int, now: int, recalled_at: int, followers: Followers) -> dict[str, Any] | None:
         """What is known of purge n, or None. recalled: the wall time from when this life counts what those
         before it accepted. With `by` it was in effect by in_effect_ms.
         """
-        if n not in self.rows:
+        if number not in self.rows:
             return None
-        purge, wall, at, key = self.rows[n]
-        former, effect = at is None, self.effects.get(n)
-        if former:
-            latest = recalled + followers.latest(0)
+        purge, accepted_at, accepted_steady, key = self.rows[number]
+        is_former, effective = accepted_steady is None, self.effective_at.get(number)
+        if is_former:
+            latest = recalled_at + followers.latest(0)
             # Not doubtful at the start of this life: in effect by the span that the doubt has.
-            if effect is None and wall < recalled - followers.doubt():
-                effect = latest = wall + 2 * followers.span + followers.settling()
+            if effective is None and accepted_at < recalled_at - followers.doubt():
+                effective = latest = accepted_at + 2 * followers.span + followers.settling()
         else:
-            latest = wall + followers.latest(at) - at
-        behind = [] if former and effect is not None else followers.behind(now, n)[:MOST_BEHIND]
+            latest = accepted_at + followers.latest(accepted_steady) - accepted_steady
+        behind = [] if is_former and effective is not None else followers.behind(now, number)[:MAX_BEHIND]
         return {
             "number": wire.number(purge),
             "sort": purge.kind,
             "what": purge.what,
             "key": key,
-            "accepted_ms": wall // 10,
-            "in_effect_ms": effect // 10 if effect is not None else None,
-            "by": former,
+            "accepted_ms": accepted_at // 10,
+            "in_effect_ms": effective // 10 if effective is not None else None,
+            "by": is_former,
             "latest_ms": latest // 10,
             "members": len(followers.rows),
             "behind": [{"name": name, "state": state, "n": place} for name, state, place in behind],
--- a/hookrouter/desk/paced.py
+++ b/hookrouter/desk/reconnect_pacing.py
@@ -11,7 +11,7 @@
 AnyPublisher = TypeVar("AnyPublisher", bound=Publisher)
 
 
-def paced(publisher: AnyPublisher, sections: Mapping, name: str, log: Log) -> AnyPublisher:
+def add_admission(publisher: AnyPublisher, sections: Mapping, name: str, log: Log) -> AnyPublisher:
     """That publisher, with its admission where sections, those of the operator's file, have one."""
     if "admission" in sections:
         from .admission import Admission
--- a/hookrouter/desk/relay.py
+++ b/hookrouter/desk/relay.py
@@ -20,10 +20,10 @@
 from .clock import Clock
 from .publisher import Publisher, steady
 
-NOTE = 0.01  # seconds
+WRITE_DELAY = 0.01  # seconds
 
 
-class Names:
+class FollowerNamesFile:
     """The names of followers in a file, replaced whole: half a file is never read."""
 
     def __init__(self, path: str) -> None:
@@ -69,13 +69,13 @@
         self.clock = Clock()
         self.fence = Fence(purges["lease"])
         self.tail = Tail(purges["hold"], archive=Archive(purges["hold"], purges["sealed"]))
-        self.names = Names(relay["store"])
-        names = self.names.read()
+        self.names_file = FollowerNamesFile(relay["store"])
+        names = self.names_file.read()
         if names is None:
             log("relay's file of members cannot be read, begun anew", relay["store"], level="error")
         self.followers = Followers(purges["lease"], purges["skew"], ROUNDING, steady(), names or (), 0)
-        self.noted_names = {name for name, _ in names or ()}  # that are in the file for sure
-        self.new: set[str] = set()
+        self.stored_names = {name for name, _ in names or ()}  # that are in the file for sure
+        self.new_names: set[str] = set()
         address = (relay["above"],) if relay["above"] else purges["desk"]
         self.feed = PurgeFeed(
             reactor, deadlines, self, address, purges, relay["name"], log, self.count, relay=True
@@ -116,7 +116,7 @@
         self.tail.take(purges, newest)
         self.followers.other_branch()
         for stream in list(self.streams):
-            stream.cut()
+            stream.abort()
 
     def adopt(self, state: SliceState) -> None:
         """A sealed slice of the snapshot."""
@@ -129,16 +129,16 @@
 
     def left(self) -> int:
         """Of its lease, for who paces those that come back."""
-        return self.span_left()
+        return self.lease_left()
 
-    def place(self, n: int) -> tuple[int, int]:
+    def place(self, number: int) -> tuple[int, int]:
         """(applied by all that are live, applied by all) of what this relay has itself."""
         live, every = self.followers.least(steady())
-        return min(n, n if live is None else live), min(n, n if every is None else every)
+        return min(number, number if live is None else live), min(number, number if every is None else every)
 
     # ---- below
 
-    def span_left(self) -> int:
+    def lease_left(self) -> int:
         """Of its lease: those of its followers end with it."""
         self.fence.at(steady())
         return self.fence.left()
@@ -147,37 +147,37 @@
         super()._settle()
         self.feed.renew_soon()
 
-    def noted(self, name: str, generation: int) -> bool:
+    def is_stored(self, name: str, generation: int) -> bool:
         """Whether the file has that name; if not, it does soon."""
-        if name in self.noted_names:
+        if name in self.stored_names:
             return True
-        self.new.add(name)
-        if len(self.new) == 1:
-            self.reactor.callLater(NOTE, self._note)  # those that come together make one file
+        self.new_names.add(name)
+        if len(self.new_names) == 1:
+            self.reactor.callLater(WRITE_DELAY, self._write_names)  # those that come together make one file
         return False
 
     def follower_left(self, name: str) -> None:
         """It is not in the next file."""
-        self.noted_names.discard(name)
+        self.stored_names.discard(name)
 
     def tick(self) -> None:
         """Strikes those off that have had no lease for long, and looks at its own lease."""
-        struck = [name for name in self.followers.struck_off() if name not in self.followers.rows]
-        self.noted_names.difference_update(struck)
-        if self.new or struck:
-            self._note()
+        removed = [name for name in self.followers.struck_off() if name not in self.followers.rows]
+        self.stored_names.difference_update(removed)
+        if self.new_names or removed:
+            self._write_names()
         self.fence.at(steady())
 
-    def _note(self) -> None:
-        names = self.noted_names | self.new
+    def _write_names(self) -> None:
+        names = self.stored_names | self.new_names
         try:
-            self.names.write((name, 0) for name in sorted(names))
-        except OSError as wrong:
+            self.names_file.write((name, 0) for name in sorted(names))
+        except OSError as error:
             self.log(
-                "relay's file of members cannot be written, new ones get no lease", str(wrong), level="error"
+                "relay's file of members cannot be written, new ones get no lease", str(error), level="error"
             )
             return
-        self.noted_names, self.new = names, set()
+        self.stored_names, self.new_names = names, set()
 
     def facts(self) -> dict[str, Any]:
         """What /v1/status answers at a relay."""
--- a/hookrouter/desk/store.py
+++ b/hookrouter/desk/store.py
@@ -7,15 +7,15 @@
 from ..purges.ledger import Keys
 from ..purges.tail import Tail
 from ..purges.types import Purge
-from ..stores.purge_log import Loaded
+from ..stores.purge_log import LoadedPurges
 
 
-class Read(NamedTuple):
+class RestoredOrder(NamedTuple):
     """What a store held, for a life of the desk that begins with it."""
 
     tail: Tail
     keys: Keys
-    loaded: Loaded
+    loaded: LoadedPurges
 
 
 class Store(Protocol):
@@ -24,10 +24,10 @@
     def append(self, batch: tuple[tuple[Purge, str], ...]) -> Deferred[None]:
         """The next purges of the order, each with the key of its submission."""
 
-    def reopen(self, least: int) -> Deferred[Read]:
+    def reopen(self, min_epoch: int) -> Deferred[RestoredOrder]:
         """All of it under a new epoch, not below least."""
 
-    def fold(self, upto: int) -> Deferred[None]:
+    def truncate(self, up_to: int) -> Deferred[None]:
         """Forgets all up to that number."""
 
     def seal(self) -> Deferred[bool]:
@@ -39,5 +39,5 @@
     def close(self) -> Deferred[None]:
         """No more is written."""
 
-    def end(self) -> None:
+    def release(self) -> None:
         """After close has fired."""
--- a/hookrouter/fleet/member/purge_door.py
+++ b/hookrouter/fleet/member/purge_door.py
@@ -30,7 +30,7 @@
         return Passed(self, self.secret)
 
 
-class Passed(web.Face):
+class Passed(web.AuthenticatedResource):
     """Submissions and questions go on to the owner; followers are told where it is."""
 
     isLeaf = True
@@ -42,13 +42,13 @@
         return self._pass(request)
 
     def _pass(self, request):
-        door = self.desk
+        door = self.publisher
         where = door.owner()
         host, _, port = where.rpartition(":")
         off = not port or where == door.duty.where or request.getHeader(b"x-passed") is not None
         if off or request.path.startswith(OF_FOLLOWERS) or door.passed >= MOST_PASSED:
             fields = {} if off else {"X_Desk": where}
-            return web.answer(
+            return web.json_response(
                 request,
                 503,
                 {"error": "the desk is elsewhere" if not off else "nobody owns the desk now"},
@@ -70,7 +70,7 @@
         return server.NOT_DONE_YET
 
     def _came(self, came, request, caller, gone):
-        self.desk.passed -= 1
+        self.publisher.passed -= 1
         caller.stop()
         if gone:
             return
@@ -81,6 +81,8 @@
             if status == 503:
                 request.setHeader(b"Retry-After", b"1")
         else:
-            body = web.answer(request, 503, {"error": "the owner of the desk does not answer"}, Retry_After=1)
+            body = web.json_response(
+                request, 503, {"error": "the owner of the desk does not answer"}, Retry_After=1
+            )
         request.write(body)
         request.finish()
--- a/hookrouter/fleet/member/purges.py
+++ b/hookrouter/fleet/member/purges.py
@@ -13,7 +13,7 @@
 from ...decisions.owners.duties import APPEND, DECLARE, FOLLOWERS, OPEN, SWEEP
 from ...desk import web
 from ...desk.desk import Desk
-from ...desk.paced import paced
+from ...desk.reconnect_pacing import add_admission
 from ...stores.purge_rows import pack
 from .asker import DutyLost
 from .records import DUTY
@@ -48,19 +48,19 @@
         ]
         return gatherResults([part.addCallback(self._told, "noted") for part in parts], consumeErrors=True)
 
-    def fold(self, upto):
+    def truncate(self, up_to):
         return succeed(None)  # a duty of its own, below
 
     def seal(self):
         return succeed(False)  # each keeper's copy does so itself
 
-    def reopen(self, least):
-        return self.duty.opened(least)
+    def reopen(self, min_epoch):
+        return self.duty.opened(min_epoch)
 
     def close(self):
         return succeed(None)
 
-    def end(self):
+    def release(self):
         pass
 
 
@@ -113,8 +113,8 @@
         if warrant is not self.warrant:
             return
         desk = Desk(self.reactor, self.log, self.purges, self.section, Kept(self), read, MOST_BATCH)
-        self.desk = paced(desk, self.sections, "desk", self.log)
-        self.tree = web.tree(self.desk, self.purges["secret"], True)
+        self.desk = add_admission(desk, self.sections, "desk", self.log)
+        self.tree = web.resource_tree(self.desk, self.purges["secret"], True)
         self.desk.start()
         self.log(
             "owns the desk",
--- a/hookrouter/fleet/member/records.py
+++ b/hookrouter/fleet/member/records.py
@@ -13,7 +13,7 @@
 from ...decisions.owners import protocol
 from ...decisions.owners.duties import INITIAL_HASH
 from ...decisions.replicas import record_copy
-from ...desk.local_store import SEALED_AT_ONCE, replayed
+from ...desk.local_store import SEAL_BATCH_SIZE, restore_order
 from ...desk.sealing import SealingLoop
 from ...errors.stores import CopyDiffers, DamagedStore
 from ...stores import PurgeLog, UnusableStore
@@ -45,7 +45,7 @@
 
     def _seal(self):
         """A step that seals old purges, so that the next owner of the desk need not read them one by one."""
-        return self._threaded(lambda: self.store.seal_some(self.terms, SEALED_AT_ONCE) == SEALED_AT_ONCE)
+        return self._threaded(lambda: self.store.seal_batch(self.terms, SEAL_BATCH_SIZE) == SEAL_BATCH_SIZE)
 
     # ---- the store; blocks
 
@@ -102,10 +102,10 @@
             ).addBoth(self._served)
 
     def _part(self, asked):
-        start, seal, bodies, agrees = self.store.part(asked.after, asked.chain_hash, PART)
+        start, seal, bodies, agrees = self.store.read_part(asked.after, asked.chain_hash, PART)
         index, names = self.store.position()[3], None
         if asked.names:
-            bodies, names = [], self.store.names()[:MOST_NAMES]
+            bodies, names = [], self.store.follower_names()[:MOST_NAMES]
         return protocol.Fetched(DUTY, asked.request_id, start, seal, bodies, agrees, index, names)
 
     def _served(self, _):
@@ -114,7 +114,7 @@
     def _carry(self, effects):
         for effect in effects:
             if isinstance(effect, record_copy.Write):
-                self._threaded(self.store.file_steps, effect.steps, effect.index).addCallbacks(
+                self._threaded(self.store.apply_steps, effect.steps, effect.index).addCallbacks(
                     self._written,
                     self._not_written,
                     callbackArgs=(effect.write_id,),
@@ -185,16 +185,16 @@
         return self.copy.state == record_copy.COMPLETE
 
     def read(self, epoch):
-        """A Deferred of Read, as LocalStore gives it."""
+        """A Deferred of RestoredOrder, as LocalStore gives it."""
 
         def reading():
             loaded = self.store.load(self.terms.hold, self.terms.most_sealed)
-            return replayed(loaded, self.terms.hold, epoch)
+            return restore_order(loaded, self.terms.hold, epoch)
 
         return self._threaded(reading)
 
     def older(self, timestamp, most):
-        return self._threaded(self.store.older, timestamp, most)
+        return self._threaded(self.store.last_older_than, timestamp, most)
 
     def stop(self):
         self.stopped = True
--- a/hookrouter/fleet/member/service.py
+++ b/hookrouter/fleet/member/service.py
@@ -121,10 +121,10 @@
     def start(self):
         self.peers.listen(*self.fleet["listen"])
         if self.records is not None:
-            from ...desk.web import serving
+            from ...desk.web import bounded_site
 
             host, port = self.desk_listen
-            self.port = self.reactor.listenTCP(port, serving(self.door), backlog=512, interface=host)
+            self.port = self.reactor.listenTCP(port, bounded_site(self.door), backlog=512, interface=host)
         if self.keeper is not None:
             self._carry(self.keeper.take(steady(), protocol.Started()))
         self.roster.start()
--- a/hookrouter/stores/keeper_log.py
+++ b/hookrouter/stores/keeper_log.py
@@ -12,10 +12,10 @@
 
 from ..decisions.owners.protocol import Entry, Stored
 from ..errors.stores import ForeignStore
-from ..tables.hash_chain import chained_hash as seal
-from .sqlite import BUSY, create, empty, not_opened, transaction
+from ..tables.hash_chain import chained_hash
+from .sqlite import LOCK_TIMEOUT, create_schema, open_error, prepare, transaction
 
-MARK = 0x686B6B70  # the file's application id: "hkkp"
+APPLICATION_ID = 0x686B6B70  # the file's application id: "hkkp"
 VERSION = 1
 
 SCHEMA = """
@@ -26,13 +26,13 @@
 
 class Meta(msgspec.Struct, array_like=True):
     term: int = 0
-    voted: str | None = None
-    written: int = 0
-    abstain: int = 0
+    voted_for: str | None = None
+    write_count: int = 0
+    no_vote_through: int = 0
     base: int = 0
     base_term: int = 0
-    marks: dict[str, int] = {}
-    doubt: str | None = None
+    write_counts: dict[str, int] = {}
+    integrity_error: str | None = None
 
 
 class Snapshot(msgspec.Struct, array_like=True):
@@ -50,38 +50,40 @@
         """name: of the keeper; a store is one keeper's for good."""
         self.path = path
         try:
-            self.file = sqlite3.connect(path, isolation_level=None, check_same_thread=False, timeout=BUSY)
+            self.connection = sqlite3.connect(
+                path, isolation_level=None, check_same_thread=False, timeout=LOCK_TIMEOUT
+            )
             self._open(name)
-        except sqlite3.DatabaseError as wrong:
-            raise not_opened(path, wrong, "a keeper") from None
+        except sqlite3.DatabaseError as error:
+            raise open_error(path, error, "a keeper") from None
 
     def _open(self, name):
-        run = self.file.execute
-        new = empty(self.file, self.path, MARK, "this is no keeper's store")
-        run("BEGIN EXCLUSIVE")  # held by this process from here on
-        if new:
-            create(self.file, SCHEMA, MARK)
+        execute = self.connection.execute
+        is_new = prepare(self.connection, self.path, APPLICATION_ID, "this is no keeper's store")
+        execute("BEGIN EXCLUSIVE")  # held by this process from here on
+        if is_new:
+            create_schema(self.connection, SCHEMA, APPLICATION_ID)
             self._put("keeper", f"{VERSION} {name}".encode())
             self._put("meta", msgspec.msgpack.encode(Meta()))
-        run("COMMIT")
-        whose = self._fact("keeper")
-        if whose != f"{VERSION} {name}".encode():
+        execute("COMMIT")
+        owner = self._fact("keeper")
+        if owner != f"{VERSION} {name}".encode():
             raise ForeignStore(
-                f"{self.path}: it is the store of {(whose or b'nobody').decode()}, not of {VERSION} {name}"
+                f"{self.path}: it is the store of {(owner or b'nobody').decode()}, not of {VERSION} {name}"
             )
 
     def close(self):
-        self.file.close()
+        self.connection.close()
 
     def _put(self, name, value):
-        self.file.execute(
-            "INSERT OR REPLACE INTO facts VALUES (?, ?, ?)", (name, value, seal(name.encode(), value))
+        self.connection.execute(
+            "INSERT OR REPLACE INTO facts VALUES (?, ?, ?)", (name, value, chained_hash(name.encode(), value))
         )
 
     def _fact(self, name):
         """None where it is missing or not as it was written."""
-        row = self.file.execute("SELECT value, seal FROM facts WHERE name = ?", (name,)).fetchone()
-        return row[0] if row is not None and seal(name.encode(), row[0]) == row[1] else None
+        row = self.connection.execute("SELECT value, seal FROM facts WHERE name = ?", (name,)).fetchone()
+        return row[0] if row is not None and chained_hash(name.encode(), row[0]) == row[1] else None
 
     def load(self):
         """What is there, as protocol.Stored; integrity_error where something is not as it was written."""
@@ -89,81 +91,89 @@
             meta = msgspec.msgpack.decode(self._fact("meta"), type=Meta)
         except (msgspec.MsgspecError, TypeError, sqlite3.DatabaseError):
             return Stored(integrity_error="its vote and term are not as they were written")
-        doubt, snapshot = meta.doubt, None
+        integrity_error, snapshot = meta.integrity_error, None
         if meta.base:
             try:
-                found = msgspec.msgpack.decode(self._fact("snapshot"), type=Snapshot)
-                snapshot = (found.index, found.term, tuple(found.voters), tuple(found.learners), found.state)
+                snapshot_row = msgspec.msgpack.decode(self._fact("snapshot"), type=Snapshot)
+                snapshot = (
+                    snapshot_row.index,
+                    snapshot_row.term,
+                    tuple(snapshot_row.voters),
+                    tuple(snapshot_row.learners),
+                    snapshot_row.state,
+                )
             except (msgspec.MsgspecError, TypeError, sqlite3.DatabaseError):
                 return Stored(
                     meta.term,
-                    meta.voted,
-                    meta.written,
-                    max(meta.abstain, meta.term),
-                    write_counts=tuple(meta.marks.items()),
+                    meta.voted_for,
+                    meta.write_count,
+                    max(meta.no_vote_through, meta.term),
+                    write_counts=tuple(meta.write_counts.items()),
                     integrity_error="its snapshot is not as it was written",
                 )
-        entries, wrong = self._entries(meta.base)
+        entries, error = self._entries(meta.base)
         if snapshot is not None and snapshot[0] > meta.base + len(entries):
-            wrong = wrong or f"entries up to {snapshot[0]} are missing"
+            error = error or f"entries up to {snapshot[0]} are missing"
         return Stored(
             meta.term,
-            meta.voted,
-            meta.written,
-            meta.abstain,
+            meta.voted_for,
+            meta.write_count,
+            meta.no_vote_through,
             snapshot,
             meta.base,
             meta.base_term,
             tuple(entries),
-            tuple(meta.marks.items()),
-            doubt or wrong,
+            tuple(meta.write_counts.items()),
+            integrity_error or error,
         )
 
     def _entries(self, base):
         """(entries, what is wrong with the first that cannot be read)."""
-        entries, before = [], b""
+        entries, previous_hash = [], b""
         try:
-            before = self._fact("base seal") or b""
-            for n, body, told in self.file.execute("SELECT n, body, seal FROM entries ORDER BY n"):
-                before = seal(before, str(n).encode(), body)
-                if n != base + len(entries) + 1 or before != told:
+            previous_hash = self._fact("base seal") or b""
+            for index, body, stored_hash in self.connection.execute(
+                "SELECT n, body, seal FROM entries ORDER BY n"
+            ):
+                previous_hash = chained_hash(previous_hash, str(index).encode(), body)
+                if index != base + len(entries) + 1 or previous_hash != stored_hash:
                     return entries, f"entry {base + len(entries) + 1} is not as it was written"
                 entries.append(msgspec.msgpack.decode(body, type=Entry))
-        except (msgspec.MsgspecError, sqlite3.DatabaseError, TypeError) as wrong:
-            return entries, f"entry {base + len(entries) + 1} cannot be read: {wrong}"
+        except (msgspec.MsgspecError, sqlite3.DatabaseError, TypeError) as error:
+            return entries, f"entry {base + len(entries) + 1} cannot be read: {error}"
         return entries, None
 
-    def write(self, p):
+    def write(self, record):
         """p: protocol.Persist. On disk when it returns."""
-        with transaction(self.file) as run:
-            run("DELETE FROM entries WHERE n > ?", (p.truncate_after,))
-            row = run("SELECT seal FROM entries WHERE n = ?", (p.truncate_after,)).fetchone()
-            before = row[0] if row is not None else self._fact("base seal") or b""
+        with transaction(self.connection) as execute:
+            execute("DELETE FROM entries WHERE n > ?", (record.truncate_after,))
+            row = execute("SELECT seal FROM entries WHERE n = ?", (record.truncate_after,)).fetchone()
+            previous_hash = row[0] if row is not None else self._fact("base seal") or b""
             rows = []
-            for n, entry in enumerate(p.entries, p.truncate_after + 1):
+            for index, entry in enumerate(record.entries, record.truncate_after + 1):
                 body = msgspec.msgpack.encode(entry)
-                before = seal(before, str(n).encode(), body)
-                rows.append((n, body, before))
-            self.file.executemany("INSERT INTO entries VALUES (?, ?, ?)", rows)
-            row = run("SELECT seal FROM entries WHERE n = ?", (p.base,)).fetchone()
+                previous_hash = chained_hash(previous_hash, str(index).encode(), body)
+                rows.append((index, body, previous_hash))
+            self.connection.executemany("INSERT INTO entries VALUES (?, ?, ?)", rows)
+            row = execute("SELECT seal FROM entries WHERE n = ?", (record.base,)).fetchone()
             if row is not None:
                 self._put("base seal", row[0])
-            run("DELETE FROM entries WHERE n <= ?", (p.base,))
-            if p.snapshot is not None:
-                self._put("snapshot", msgspec.msgpack.encode(Snapshot(*p.snapshot)))
+            execute("DELETE FROM entries WHERE n <= ?", (record.base,))
+            if record.snapshot is not None:
+                self._put("snapshot", msgspec.msgpack.encode(Snapshot(*record.snapshot)))
             meta = Meta(
-                p.term,
-                p.voted_for,
-                p.write_count,
-                p.no_vote_through,
-                p.base,
-                p.base_term,
-                dict(p.write_counts),
-                p.integrity_error,
+                record.term,
+                record.voted_for,
+                record.write_count,
+                record.no_vote_through,
+                record.base,
+                record.base_term,
+                dict(record.write_counts),
+                record.integrity_error,
             )
             self._put("meta", msgspec.msgpack.encode(meta))
 
     def probe(self):
         """Writes what is there once more: sqlite3.Error where there is still no room."""
-        with transaction(self.file) as run:
-            run("UPDATE facts SET value = value WHERE name = 'meta'")
+        with transaction(self.connection) as execute:
+            execute("UPDATE facts SET value = value WHERE name = 'meta'")
--- a/hookrouter/stores/purge_log.py
+++ b/hookrouter/stores/purge_log.py
@@ -16,12 +16,12 @@
 from . import purge_slices
 from .purge_rows import seal
 from .purge_steps import INSERT, CopySteps
-from .sqlite import BUSY, create, empty, fact, not_opened, transaction
+from .sqlite import LOCK_TIMEOUT, create_schema, open_error, prepare, read_fact, transaction
 
-MARK = 0x686B7072  # the file's application id: "hkpr"
+APPLICATION_ID = 0x686B7072  # the file's application id: "hkpr"
 VERSION = 2
 FORMER_VERSION = 1  # without a sealed part: it is added when the file is opened
-ROWS = 10_000  # read at once
+ROWS_PER_FETCH = 10_000  # read at once
 DEFAULT_HOLD = 864_000_000  # 24 h in tenths of a millisecond, where whoever reads does not say
 
 SCHEMA = """
@@ -32,7 +32,7 @@
 """
 
 
-class Loaded(NamedTuple):
+class LoadedPurges(NamedTuple):
     """What a desk starts from."""
 
     epoch: int  # the last life's
@@ -46,36 +46,36 @@
     def __init__(self, path, must_exist=False):
         self.path = path
         try:
-            self.file = sqlite3.connect(
+            self.connection = sqlite3.connect(
                 f"file:{path}?mode={'rw' if must_exist else 'rwc'}",
                 uri=True,
                 isolation_level=None,
                 check_same_thread=False,
-                timeout=BUSY,
+                timeout=LOCK_TIMEOUT,
             )
-            self.sealing = purge_slices.Sealing(self.file, path)
+            self.sealed_tables = purge_slices.SealedTables(self.connection, path)
             self._open()
-        except sqlite3.DatabaseError as wrong:
-            raise not_opened(path, wrong, "a desk") from None
-        self.last = None  # seal of the newest row
+        except sqlite3.DatabaseError as error:
+            raise open_error(path, error, "a desk") from None
+        self.last_seal = None  # seal of the newest row
 
     def _open(self):
-        run = self.file.execute
-        if empty(self.file, self.path, MARK, "this is no store of purges"):
-            run("BEGIN EXCLUSIVE")
-            create(self.file, SCHEMA + purge_slices.SCHEMA, MARK)
+        execute = self.connection.execute
+        if prepare(self.connection, self.path, APPLICATION_ID, "this is no store of purges"):
+            execute("BEGIN EXCLUSIVE")
+            create_schema(self.connection, SCHEMA + purge_slices.SCHEMA, APPLICATION_ID)
             for name, value in (
                 ("version", VERSION),
                 ("epoch", 0),
                 ("floor", 0),
                 ("floor seal", INITIAL_HASH),
             ):
-                run("INSERT INTO facts VALUES (?, ?)", (name, value))
-            self.sealing.create()
-            run("COMMIT")
+                execute("INSERT INTO facts VALUES (?, ?)", (name, value))
+            self.sealed_tables.create()
+            execute("COMMIT")
         else:
-            run("BEGIN IMMEDIATE")  # held by this process from here on
-            run("COMMIT")
+            execute("BEGIN IMMEDIATE")  # held by this process from here on
+            execute("COMMIT")
         if self._fact("version") == FORMER_VERSION:
             self._add_sealed_part()
         if self._fact("version") != VERSION:
@@ -84,17 +84,17 @@
             )
 
     def _add_sealed_part(self):
-        with transaction(self.file) as run:
+        with transaction(self.connection) as execute:
             for statement in purge_slices.SCHEMA.split(";")[:-1]:
-                run(statement)
-            self.sealing.create()
-            run("UPDATE facts SET value = ? WHERE name = 'version'", (VERSION,))
+                execute(statement)
+            self.sealed_tables.create()
+            execute("UPDATE facts SET value = ? WHERE name = 'version'", (VERSION,))
 
     def close(self):
-        self.file.close()
+        self.connection.close()
 
     def _fact(self, name):
-        return fact(self.file, self.path, name)
+        return read_fact(self.connection, self.path, name)
 
     # ---- read
 
@@ -103,117 +103,119 @@
         as it was written. hold, most_sealed: as in PurgeTerms.
         """
         try:
-            part = self.sealing.read(hold, most_sealed)
-        except sqlite3.DatabaseError as wrong:
-            raise DamagedStore(f"{self.path}: its sealed purges cannot be read: {wrong}") from None
-        rows = list(self._rows(*self._start()))
-        return Loaded(
+            sealed = self.sealed_tables.read(hold, most_sealed)
+        except sqlite3.DatabaseError as error:
+            raise DamagedStore(f"{self.path}: its sealed purges cannot be read: {error}") from None
+        rows = list(self._rows(*self._sealed_end()))
+        return LoadedPurges(
             self._fact("epoch"),
             self._fact("floor"),
             rows,
-            self.file.execute("SELECT name, generation FROM members ORDER BY name").fetchall(),
-            part,
+            self.connection.execute("SELECT name, generation FROM members ORDER BY name").fetchall(),
+            sealed,
         )
 
-    def _start(self):
+    def _sealed_end(self):
         """(number behind which rows are not sealed, the seal of that row)."""
         floor = self._fact("floor"), self._fact("floor seal")
-        return max(floor, self.sealing.reached(), key=lambda place: place[0])
+        return max(floor, self.sealed_tables.sealed_through(), key=lambda place: place[0])
 
-    def _rows(self, n, before):
+    def _rows(self, number, previous_seal):
         """The rows behind that number, each checked. before: the seal of that number's."""
         try:
-            found = self.file.execute(
-                "SELECT epoch, n, made, sort, what, key, seal FROM purges WHERE n > ? ORDER BY n", (n,)
+            cursor = self.connection.execute(
+                "SELECT epoch, n, made, sort, what, key, seal FROM purges WHERE n > ? ORDER BY n", (number,)
             )
-            while batch := found.fetchmany(ROWS):
-                for epoch, number, timestamp, kind, what, key, told in batch:
-                    n += 1
-                    purge = Purge(epoch, number, timestamp, kind, what)
-                    before = self._checked(before, purge, key, told, n)
+            while batch := cursor.fetchmany(ROWS_PER_FETCH):
+                for epoch, row_number, timestamp, kind, what, key, stored_seal in batch:
+                    number += 1
+                    purge = Purge(epoch, row_number, timestamp, kind, what)
+                    previous_seal = self._checked(previous_seal, purge, key, stored_seal, number)
                     yield purge, key
-        except sqlite3.DatabaseError as wrong:
-            raise DamagedStore(f"{self.path}: purge {n + 1} cannot be read: {wrong}", n + 1) from None
-        self.last = before
-
-    def _checked(self, before, purge, key, told, n):
-        if purge.n != n:
-            raise DamagedStore(f"{self.path}: purge {n} is missing, {purge.n} follows", n)
+        except sqlite3.DatabaseError as error:
+            raise DamagedStore(
+                f"{self.path}: purge {number + 1} cannot be read: {error}", number + 1
+            ) from None
+        self.last_seal = previous_seal
+
+    def _checked(self, previous_seal, purge, key, stored_seal, number):
+        if purge.n != number:
+            raise DamagedStore(f"{self.path}: purge {number} is missing, {purge.n} follows", number)
         try:
-            whole = seal(before, purge, key) == told
+            is_intact = seal(previous_seal, purge, key) == stored_seal
         except (struct.error, AttributeError, TypeError):
-            whole = False
-        if not whole:
-            raise DamagedStore(f"{self.path}: purge {n} is not as it was written", n)
-        return told
+            is_intact = False
+        if not is_intact:
+            raise DamagedStore(f"{self.path}: purge {number} is not as it was written", number)
+        return stored_seal
 
     def verify(self):
         """(purges that are sound, what is wrong, a line each)."""
-        sound, wrong = 0, []
+        sound, problems = 0, []
         try:
-            wrong += [
+            problems += [
                 f"{self.path}: {row[0]}"
-                for row in self.file.execute("PRAGMA integrity_check(20)")
+                for row in self.connection.execute("PRAGMA integrity_check(20)")
                 if row[0] != "ok"
             ]
         except sqlite3.DatabaseError as error:
-            wrong.append(f"{self.path}: {error}")
+            problems.append(f"{self.path}: {error}")
         try:
             for _ in self._rows(self._fact("floor"), self._fact("floor seal")):
                 sound += 1
         except DamagedStore as error:
-            wrong.append(str(error))
+            problems.append(str(error))
         try:
-            self.sealing.read(DEFAULT_HOLD, MOST_SEALED)
+            self.sealed_tables.read(DEFAULT_HOLD, MOST_SEALED)
         except (DamagedStore, sqlite3.DatabaseError) as error:
-            wrong.append(str(error))
-        return sound, wrong
+            problems.append(str(error))
+        return sound, problems
 
     # ---- written; each call is one transaction, on disk when it returns
 
-    def begin(self, least):
+    def begin_epoch(self, min_epoch):
         """A new life: an epoch above the last one's and not below least."""
-        epoch = max(least, self._fact("epoch") + 1)
-        with transaction(self.file) as run:
-            run("UPDATE facts SET value = ? WHERE name = 'epoch'", (epoch,))
+        epoch = max(min_epoch, self._fact("epoch") + 1)
+        with transaction(self.connection) as execute:
+            execute("UPDATE facts SET value = ? WHERE name = 'epoch'", (epoch,))
         return epoch
 
     def append(self, batch):
         """batch: (Purge, key) in order. sqlite3.Error: what is on disk has to be loaded again."""
-        before, rows = self.last, []
+        previous_seal, rows = self.last_seal, []
         for purge, key in batch:
-            before = seal(before, purge, key)
-            rows.append((*purge, key, before))
-        with transaction(self.file):
-            self.file.executemany(INSERT, rows)
-        self.last = before
+            previous_seal = seal(previous_seal, purge, key)
+            rows.append((*purge, key, previous_seal))
+        with transaction(self.connection):
+            self.connection.executemany(INSERT, rows)
+        self.last_seal = previous_seal
 
-    def fold(self, upto):
+    def truncate(self, up_to):
         """Folds away all up to this number: its seal goes on standing for them."""
-        with transaction(self.file):
-            self._step_sweep(upto)
+        with transaction(self.connection):
+            self._step_sweep(up_to)
 
-    def seal_some(self, terms, most):
+    def seal_batch(self, terms, limit):
         """Adds up to so many of the oldest rows to the sealed part; how many. terms: a purge_slices.Terms."""
-        start, before = self._start()
+        start, previous_seal = self._sealed_end()
         newest = self.position()[0]
-        upto = min(start + most, newest - terms.keep)
-        if upto <= start:
+        up_to = min(start + limit, newest - terms.min_unsealed)
+        if up_to <= start:
             return 0
-        with transaction(self.file) as run:
-            (clock,) = run("SELECT made FROM purges WHERE n = ?", (newest,)).fetchone()
-            found = run(
+        with transaction(self.connection) as execute:
+            (clock,) = execute("SELECT made FROM purges WHERE n = ?", (newest,)).fetchone()
+            stored_rows = execute(
                 "SELECT epoch, n, made, sort, what, key, seal FROM purges WHERE n > ? AND n <= ? ORDER BY n",
-                (start, upto),
+                (start, up_to),
             ).fetchall()
             rows = []
-            for n, (*fields, key, told) in enumerate(found, start + 1):
-                before = self._checked(before, Purge(*fields), key, told, n)
-                rows.append((Purge(*fields), told))
-            self.sealing.extend(rows, clock, terms)
+            for number, (*fields, key, stored_seal) in enumerate(stored_rows, start + 1):
+                previous_seal = self._checked(previous_seal, Purge(*fields), key, stored_seal, number)
+                rows.append((Purge(*fields), stored_seal))
+            self.sealed_tables.extend(rows, clock, terms)
         return len(rows)
 
     def update_followers(self, joined, left):
         """joined: (name, generation); left: names."""
-        with transaction(self.file):
+        with transaction(self.connection):
             self._step_names(joined, left)
--- a/hookrouter/stores/trace_log.py
+++ b/hookrouter/stores/trace_log.py
@@ -12,9 +12,9 @@
 
 from ..errors.stores import TruncatedTrace
 
-SEGMENTS = 8  # kept of one router: removing one loses an eighth
-PIECE = 1 << 16  # bytes read at once
-MOST_LINE = 1 << 21  # bytes: what has no line's end by then is no trace
+MAX_SEGMENTS = 8  # kept of one router: removing one loses an eighth
+READ_SIZE = 1 << 16  # bytes read at once
+MAX_LINE = 1 << 21  # bytes: what has no line's end by then is no trace
 
 
 class TraceLog:
@@ -22,25 +22,25 @@
     waits for the disk. OSError: it could not be written.
     """
 
-    def __init__(self, folder, name, most, header):
+    def __init__(self, folder, name, max_bytes, header):
         self.folder, self.name, self.header = folder, name, header
-        self.segment = max(1, most // SEGMENTS)
+        self.segment_size = max(1, max_bytes // MAX_SEGMENTS)
         self.compressor = zstandard.ZstdCompressor(level=1, write_checksum=True)
         self.file, self.size = None, 0
-        self.number = max((number for number, _ in segments(folder, name)), default=0)
+        self.last_number = max((number for number, _ in list_segments(folder, name)), default=0)
 
     def write(self, block):
-        if self.file is None or self.size >= self.segment:
+        if self.file is None or self.size >= self.segment_size:
             self._next()
         self.size += self.file.write(self.compressor.compress(block))
         self.file.flush()
 
     def _next(self):
         self.close()
-        self.number += 1
-        for _, path in segments(self.folder, self.name)[: -(SEGMENTS - 1)]:
+        self.last_number += 1
+        for _, path in list_segments(self.folder, self.name)[: -(MAX_SEGMENTS - 1)]:
             os.unlink(path)
-        self.file = open(os.path.join(self.folder, f"{self.name}.{self.number:08d}.trace"), "xb")
+        self.file = open(os.path.join(self.folder, f"{self.name}.{self.last_number:08d}.trace"), "xb")
         self.size = self.file.write(self.compressor.compress(self.header))
 
     def close(self):
@@ -50,7 +50,7 @@
                 file.close()
 
 
-def segments(folder, name=None):
+def list_segments(folder, name=None):
     """[(number, path)] of that name in their order; of all names, by name and number, without one."""
     found = []
     for entry in os.listdir(folder):
@@ -60,18 +60,18 @@
     return [(number, path) for _, number, path in sorted(found)]
 
 
-def lines(path):
+def read_lines(path):
     """Each whole line of a segment; TruncatedTrace where it is torn or damaged, with what is wrong."""
     rest = b""
     with open(path, "rb") as file:
         reader = zstandard.ZstdDecompressor().stream_reader(file, read_across_frames=True)
         try:
-            while piece := reader.read(PIECE):
-                *whole, rest = (rest + piece).split(b"\n")
-                yield from whole
-                if len(rest) > MOST_LINE:
+            while data := reader.read(READ_SIZE):
+                *complete, rest = (rest + data).split(b"\n")
+                yield from complete
+                if len(rest) > MAX_LINE:
                     raise TruncatedTrace(f"{path}: a line without an end")
-        except zstandard.ZstdError as wrong:
-            raise TruncatedTrace(f"{path}: damaged from here on: {wrong}") from None
+        except zstandard.ZstdError as error:
+            raise TruncatedTrace(f"{path}: damaged from here on: {error}") from None
     if rest:
         raise TruncatedTrace(f"{path}: its last block was cut off")
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -325,7 +325,7 @@
 
 def test_a_store_that_cannot_be_written_says_so_and_holds_what_it_held(tmp_path):
     log = stored(tmp_path)
-    log.file.execute("PRAGMA max_page_count = 1")
+    log.connection.execute("PRAGMA max_page_count = 1")
     with pytest.raises(sqlite3.Error):
         log.write(
             protocol.Persist(
--- a/tests/test_purge_follower.py
+++ b/tests/test_purge_follower.py
@@ -7,7 +7,7 @@
 from twisted.internet.defer import Deferred
 
 from hookrouter.desk.publisher import FollowRequest, Publisher
-from hookrouter.desk.stream import SLOW, Stream
+from hookrouter.desk.stream import READ_TIMEOUT, Stream
 from hookrouter.feed.purges import PurgeFeed
 from hookrouter.purges import wire
 from hookrouter.purges.followers import Followers
@@ -234,7 +234,7 @@
         self.tail, self.followers = Tail(1 << 60, 5, recent=recent, names=recent), Followers(SECOND, 0, 0, 0)
         self.clock, self.names, self.asked = (lambda: 77), set(), []
 
-    def noted(self, name, generation):
+    def is_stored(self, name, generation):
         self.asked.append(name)
         return name in self.names
 
@@ -269,8 +269,8 @@
     got = [row[1] for data in request.written for row in wire.read_event(data[6:]).purges]
     assert got == list(range(1, 1_501)) and max(map(len, request.written)) < 60_000
     stream.pauseProducing()
-    net.advance(SLOW + 1)
-    stream.beat()
+    net.advance(READ_TIMEOUT + 1)
+    stream.heartbeat()
     assert request.aborted and publisher.streams == {}
     late = Stream(publisher, Request(), 100, None)
     for n in range(1_501, 5_000):
--- a/tests/test_purge_slices.py
+++ b/tests/test_purge_slices.py
@@ -9,14 +9,14 @@
 import pytest
 from test_purge_store import batch
 
-from hookrouter.desk.local_store import replayed
+from hookrouter.desk.local_store import restore_order
 from hookrouter.purges import Guard, Position, Purge, PurgeTerms, slice_codec, types
 from hookrouter.purges.tail import Tail
 from hookrouter.stores import DamagedStore, PurgeLog, UnusableStore
-from hookrouter.stores.purge_slices import Terms
+from hookrouter.stores.purge_slices import SealingTerms
 
 HOLD, SEALED, KEEP = 24_000, 2_000, 50
-TERMS = Terms(HOLD, SEALED, KEEP)
+TERMS = SealingTerms(HOLD, SEALED, KEEP)
 ROUTER = PurgeTerms(20_000, HOLD, 500, 20, types.YOUNG, 1_000, 10, SEALED)
 
 
@@ -32,14 +32,14 @@
 def opened(path, rows=()):
     log = PurgeLog(path)
     log.load(HOLD, SEALED)
-    log.begin(1)
+    log.begin_epoch(1)
     if rows:
         log.append(rows)
     return log
 
 
 def sealed_all(log, most=70):
-    while log.seal_some(TERMS, most):
+    while log.seal_batch(TERMS, most):
         pass
 
 
@@ -74,13 +74,13 @@
 def test_a_start_by_the_sealed_part_gives_the_same_order_as_one_by_all_rows(tmp_path):
     rows = mixed(1, 1_000)
     log = opened(tmp_path / "s.db", rows)
-    whole = replayed(log.load(HOLD, SEALED), HOLD, 2).tail
+    whole = restore_order(log.load(HOLD, SEALED), HOLD, 2).tail
     sealed_all(log)
     log.close()
     log = PurgeLog(tmp_path / "s.db", must_exist=True)
     loaded = log.load(HOLD, SEALED)
-    assert [purge.n for purge, _ in loaded.rows] == list(range(951, 1_001)) and loaded.sealed.n == 950
-    tail, keys, _ = replayed(loaded, HOLD, 2)
+    assert [purge.n for purge, _ in loaded.rows] == list(range(951, 1_001)) and loaded.sealed.through == 950
+    tail, keys, _ = restore_order(loaded, HOLD, 2)
     assert (tail.newest, tail.last_timestamp, tail.firsts) == (whole.newest, whole.last_timestamp, [(1, 1)])
     assert tail.exact == whole.exact and set(keys) == {f"k{n}" for n in range(951, 1_001)}
     assert len(tail.archive) == 475 and tail.live() < whole.live() + 475
@@ -101,23 +101,23 @@
     assert min(purge.timestamp for purge in part.exact) >= oldest
     assert min(one.bound for one in part.archive.live()) >= oldest
     assert 24 <= len({key.span for key in part.archive.slices}) <= 26
-    assert_all_bind(replayed(log.load(HOLD, SEALED), HOLD, 2).tail, rows)
-    log.fold(3_000)  # the rows go after a hold; nothing is sealed twice or left out
+    assert_all_bind(restore_order(log.load(HOLD, SEALED), HOLD, 2).tail, rows)
+    log.truncate(3_000)  # the rows go after a hold; nothing is sealed twice or left out
     log.append(mixed(4_001, 4_300))
     sealed_all(log, 300)
-    assert_all_bind(replayed(log.load(HOLD, SEALED), HOLD, 2).tail, rows + mixed(4_001, 4_300))
+    assert_all_bind(restore_order(log.load(HOLD, SEALED), HOLD, 2).tail, rows + mixed(4_001, 4_300))
     log.close()
 
 
 def test_a_store_whose_rows_were_all_folded_away_goes_on(tmp_path):
     log = opened(tmp_path / "s.db", batch(1, 200))
-    log.fold(200)
-    assert log.seal_some(TERMS, 100) == 0
+    log.truncate(200)
+    assert log.seal_batch(TERMS, 100) == 0
     log.append([(purge._replace(timestamp=10**6), key) for purge, key in batch(201, 300)])
     sealed_all(log)
     loaded = log.load(HOLD, SEALED)
-    assert (loaded.floor, loaded.sealed.n, len(loaded.rows)) == (200, 250, 50)
-    assert replayed(loaded, HOLD, 2).tail.newest == Position(1, 300)
+    assert (loaded.floor, loaded.sealed.through, len(loaded.rows)) == (200, 250, 50)
+    assert restore_order(loaded, HOLD, 2).tail.newest == Position(1, 300)
     log.close()
 
 
@@ -134,13 +134,13 @@
     left -= 1
     if left < 0:
         os.kill(os.getpid(), signal.SIGKILL)
-log.file.set_trace_callback(trace)
+log.connection.set_trace_callback(trace)
 for k in range(6):
-    log.seal_some(TERMS, 100)
+    log.seal_batch(TERMS, 100)
     first = 1_001 + 50 * k
     log.append(mixed(first, first + 49))
     print(first + 49, flush=True)
-    log.fold(20 * k)
+    log.truncate(20 * k)
 """
 
 
@@ -156,11 +156,11 @@
     log = PurgeLog(path, must_exist=True)
     loaded = log.load(HOLD, SEALED)
     newest = loaded.rows[-1][0].n
-    assert newest >= last and loaded.rows[0][0].n == max(loaded.floor, loaded.sealed.n) + 1
+    assert newest >= last and loaded.rows[0][0].n == max(loaded.floor, loaded.sealed.through) + 1
     rows = [row for first in range(0, newest, 50) for row in rows_from(first, newest)]
-    assert_all_bind(replayed(loaded, HOLD, 2).tail, rows)
+    assert_all_bind(restore_order(loaded, HOLD, 2).tail, rows)
     sealed_all(log)
-    assert_all_bind(replayed(log.load(HOLD, SEALED), HOLD, 2).tail, rows)
+    assert_all_bind(restore_order(log.load(HOLD, SEALED), HOLD, 2).tail, rows)
     assert log.verify()[1] == []
     log.close()
 
@@ -193,7 +193,7 @@
     path = tmp_path / "s.db"
     log = opened(path, mixed(1, 1_000))
     sealed_all(log)
-    log.file.execute(wrong)
+    log.connection.execute(wrong)
     log.close()
     log = PurgeLog(path, must_exist=True)
     with pytest.raises(DamagedStore, match=said):
@@ -204,23 +204,23 @@
 
 def test_a_damaged_row_is_found_when_it_is_sealed_and_nothing_of_it_is(tmp_path):
     log = opened(tmp_path / "s.db", mixed(1, 1_000))
-    assert log.seal_some(TERMS, 100) == 100
-    log.file.execute("UPDATE purges SET what = 'other' WHERE n = 150")
+    assert log.seal_batch(TERMS, 100) == 100
+    log.connection.execute("UPDATE purges SET what = 'other' WHERE n = 150")
     with pytest.raises(DamagedStore, match="purge 150 is not as it was written"):
-        log.seal_some(TERMS, 100)
-    assert log.sealing.reached()[0] == 100
+        log.seal_batch(TERMS, 100)
+    assert log.sealed_tables.sealed_through()[0] == 100
     log.close()
 
 
 def test_a_full_disk_ends_a_step_and_the_next_one_goes_on(tmp_path):
     log = opened(tmp_path / "s.db", mixed(1, 1_000))
-    pages = log.file.execute("PRAGMA page_count").fetchone()[0]
-    log.file.execute(f"PRAGMA max_page_count = {pages}")
+    pages = log.connection.execute("PRAGMA page_count").fetchone()[0]
+    log.connection.execute(f"PRAGMA max_page_count = {pages}")
     with pytest.raises(sqlite3.OperationalError, match="full"):
-        log.seal_some(TERMS, 900)
-    assert log.sealing.reached()[0] == 0
-    log.file.execute("PRAGMA max_page_count = 100000")
-    assert log.seal_some(TERMS, 900) == 900
+        log.seal_batch(TERMS, 900)
+    assert log.sealed_tables.sealed_through()[0] == 0
+    log.connection.execute("PRAGMA max_page_count = 100000")
+    assert log.seal_batch(TERMS, 900) == 900
     log.close()
 
 
@@ -233,14 +233,14 @@
         "DELETE FROM facts WHERE name LIKE 'sealed%' OR name = 'firsts'",
         "UPDATE facts SET value = 1 WHERE name = 'version'",
     ):
-        log.file.execute(statement)
+        log.connection.execute(statement)
     log.close()
     log = PurgeLog(path, must_exist=True)
     loaded = log.load(HOLD, SEALED)
-    assert (len(loaded.rows), loaded.sealed.n) == (300, 0)
+    assert (len(loaded.rows), loaded.sealed.through) == (300, 0)
     sealed_all(log)
-    assert log.load(HOLD, SEALED).sealed.n == 250
-    log.file.execute("UPDATE facts SET value = 3 WHERE name = 'version'")
+    assert log.load(HOLD, SEALED).sealed.through == 250
+    log.connection.execute("UPDATE facts SET value = 3 WHERE name = 'version'")
     log.close()
     with pytest.raises(UnusableStore, match="of version 3, this program reads 2"):
         PurgeLog(path, must_exist=True)
--- a/tests/test_purge_store.py
+++ b/tests/test_purge_store.py
@@ -19,7 +19,7 @@
 def filled(path, last=3_000):
     log = PurgeLog(path)
     log.load()
-    assert log.begin(1) == 1
+    assert log.begin_epoch(1) == 1
     log.append(batch(1, last))
     log.update_followers([("r1", 5), ("r2", 6)], ["r9"])
     return log
@@ -36,8 +36,8 @@
         batch(1, 3_000),
         [("r1", 5), ("r2", 6)],
     )
-    assert [log.begin(0), log.begin(7), log.begin(5)] == [2, 7, 8]
-    log.fold(2_999)
+    assert [log.begin_epoch(0), log.begin_epoch(7), log.begin_epoch(5)] == [2, 7, 8]
+    log.truncate(2_999)
     log.append(batch(3_001, 3_002, 8))
     log.update_followers([], ["r1"])
     log.close()
@@ -65,13 +65,13 @@
     left -= 1
     if left < 0:
         os.kill(os.getpid(), signal.SIGKILL)
-log.file.set_trace_callback(trace)
-epoch = log.begin(1)
+log.connection.set_trace_callback(trace)
+epoch = log.begin_epoch(1)
 for k in range(6):
     n = 3_001 + 50 * k
     log.append([(Purge(epoch, m, m, "object", f"o{m}"), f"k{m}") for m in range(n, n + 50)])
     print(n + 49, flush=True)
-    log.fold(n - 1_000)
+    log.truncate(n - 1_000)
     log.update_followers([(f"m{k}", k)], [f"m{k - 1}"])
 """
 
@@ -95,11 +95,11 @@
 def test_a_full_disk_refuses_the_batch_and_keeps_the_rest(tmp_path):
     path = tmp_path / "s.db"
     log = filled(path, 100)
-    pages = log.file.execute("PRAGMA page_count").fetchone()[0]
-    log.file.execute(f"PRAGMA max_page_count = {pages}")
+    pages = log.connection.execute("PRAGMA page_count").fetchone()[0]
+    log.connection.execute(f"PRAGMA max_page_count = {pages}")
     with pytest.raises(sqlite3.OperationalError, match="full"):
         log.append(batch(101, 5_000))
-    log.file.execute("PRAGMA max_page_count = 100000")
+    log.connection.execute("PRAGMA max_page_count = 100000")
     log.append(batch(101, 200))
     log.close()
     log = PurgeLog(path)
@@ -126,7 +126,7 @@
 def test_damage_is_found_and_named(tmp_path, wrong, n, said):
     path = tmp_path / "s.db"
     log = filled(path, 100)
-    log.file.execute(wrong)
+    log.connection.execute(wrong)
     log.close()
     log = PurgeLog(path)
     with pytest.raises(DamagedStore, match=said) as found:
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -87,7 +87,7 @@
 def test_a_store_takes_steps_whole_or_not_and_says_where_it_differs(tmp_path):
     log = PurgeLog(tmp_path / "p.db")
     bodies = [body(n) for n in range(1, 6)]
-    log.file_steps(((APPEND, 1, bodies), ("open", 5), ("names", (("m", 3),), ())), 9)
+    log.apply_steps(((APPEND, 1, bodies), ("open", 5), ("names", (("m", 3),), ())), 9)
     newest, seal, floor, index = log.position()
     assert (newest, floor, index) == (5, 0, 9) and unpack(bodies[2])[0].n == 3
     for steps in (
@@ -96,18 +96,22 @@
         (("compare", 3, [body(3, "other")]),),
     ):
         with pytest.raises(CopyDiffers):
-            log.file_steps(steps, 10)
+            log.apply_steps(steps, 10)
         assert log.position() == (newest, seal, floor, index)
-    log.file_steps((("verify", 5, seal), ("compare", 2, bodies[1:]), ("sweep", 2)), 11)
+    log.apply_steps((("verify", 5, seal), ("compare", 2, bodies[1:]), ("sweep", 2)), 11)
     assert log.position() == (5, seal, 2, 11)
-    assert log.part(1, b"", 1_000)[:1] == (2,) and log.part(1, b"", 1_000)[3]
-    start, start_seal, rest, agrees = log.part(3, log._seal_at(3), 1)
+    assert log.read_part(1, b"", 1_000)[:1] == (2,) and log.read_part(1, b"", 1_000)[3]
+    start, start_seal, rest, agrees = log.read_part(3, log._seal_at(3), 1)
     assert (start, rest, agrees) == (3, [bodies[3]], True)
-    assert not log.part(3, b"0" * 16, 1)[3] and log.part(9, b"", 1) == (9, b"", [], True)
+    assert not log.read_part(3, b"0" * 16, 1)[3] and log.read_part(9, b"", 1) == (9, b"", [], True)
     log.close()
     log = PurgeLog(tmp_path / "p.db")
     assert [p.n for p, _ in log.load().rows] == [3, 4, 5] and log.load().followers == [("m", 3)]
-    assert log.older(105, 10) == 4 and log.older(105, 1) == 3 and log.older(1, 10) == 0
+    assert (
+        log.last_older_than(105, 10) == 4
+        and log.last_older_than(105, 1) == 3
+        and log.last_older_than(1, 10) == 0
+    )
     log.close()
 
 
@@ -235,7 +239,7 @@
             store.write_bytes(bytes(data))
         elif what == "other":  # a store of another fleet, with as many purges, none of them committed here
             log = PurgeLog(store)
-            log.file_steps(((APPEND, 1, [body(n) for n in range(1, len(accepted) + 1)]),), 10**6)
+            log.apply_steps(((APPEND, 1, [body(n) for n in range(1, len(accepted) + 1)]),), 10**6)
             log.close()
     rig.start(name)
     assert same(rig, len(accepted))
@@ -312,12 +316,12 @@
 def test_the_order_of_a_desk_of_its_own_is_gone_on_with(tmp_path):
     made = Rig(tmp_path, keepers=3, purges=True)
     log = PurgeLog(tmp_path / "k1-purges.db")  # as left by `purges serve`: some removed, one follower known
-    log.begin(77)
+    log.begin_epoch(77)
     log.load()
     made_at = int(time.time() * 10_000)
     log.append([(Purge(77, n, made_at + n, "tag", f"t{n}"), f"key{n}") for n in range(1, 8)])
     log.update_followers([("edge-1", 5)], [])
-    log.fold(3)
+    log.truncate(3)
     log.close()
     made.start()
     try:
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -14,7 +14,7 @@
 from hookrouter.__main__ import main
 from hookrouter.control import Control
 from hookrouter.node.tracing import BLOCK
-from hookrouter.stores.trace_log import SEGMENTS, TraceLog, lines, segments
+from hookrouter.stores.trace_log import MAX_SEGMENTS, TraceLog, list_segments, read_lines
 from hookrouter.trace import Account, Replay, Row, UnreadableTrace, read_header, read_row
 from hookrouter.trace.rows import MAX_LINE, Header, KindRow, known_load
 
@@ -25,8 +25,8 @@
 
 def read_traces(folder):
     runs = []
-    for _, path in segments(str(folder)):
-        content = list(lines(path))
+    for _, path in list_segments(str(folder)):
+        content = list(read_lines(path))
         runs.append((read_header(content[0]), [read_row(line) for line in content[1:]]))
     return runs
 
@@ -80,15 +80,16 @@
     for _ in range(200):
         log.write(os.urandom(4_000).hex().encode() + b"\n")
     log.close()
-    kept = segments(str(tmp_path), "n1")
+    kept = list_segments(str(tmp_path), "n1")
     assert (
-        len(kept) == SEGMENTS and sum(os.path.getsize(path) for _, path in kept) < 80_000 + SEGMENTS * 8_000
+        len(kept) == MAX_SEGMENTS
+        and sum(os.path.getsize(path) for _, path in kept) < 80_000 + MAX_SEGMENTS * 8_000
     )
     TraceLog(str(tmp_path), "n1", 80_000, b"{}\n").write(b"[]\n")
     TraceLog(str(tmp_path), "n10", 80_000, b"{}\n").write(b"[]\n")
     assert (
-        segments(str(tmp_path), "n1")[-1][0] == kept[-1][0] + 1
-        and len(segments(str(tmp_path), "n1")) == SEGMENTS
+        list_segments(str(tmp_path), "n1")[-1][0] == kept[-1][0] + 1
+        and len(list_segments(str(tmp_path), "n1")) == MAX_SEGMENTS
     )
 
 
@@ -97,8 +98,8 @@
     for number in range(50):
         log.write(b"[%d]\n" % number * 20)
     log.close()
-    ((_, path),) = segments(str(tmp_path))
-    content, complete = open(path, "rb").read(), list(lines(path))
+    ((_, path),) = list_segments(str(tmp_path))
+    content, complete = open(path, "rb").read(), list(read_lines(path))
     rng = Random(5)
     for _ in range(60):
         at = rng.randrange(1, len(content))
@@ -110,7 +111,7 @@
         open(path, "wb").write(damaged)
         read_back = []
         try:
-            for line in lines(path):
+            for line in read_lines(path):
                 read_back.append(line)
         except ValueError as error:
             assert path in str(error)
@@ -250,8 +251,8 @@
     assert main(["trace", "account", str(tmp_path), "--json"]) == 0
     counted = json.loads(capsys.readouterr().out)
     assert counted["skipped"] == 0 and counted["lookups"] == 40
-    ((_, path),) = segments(str(tmp_path))
-    header, *rows = list(lines(path))
+    ((_, path),) = list_segments(str(tmp_path))
+    header, *rows = list(read_lines(path))
     split_at = (
         next(number for number, line in enumerate(rows) if b"Lookup" in line and number > 20) + 1
     )  # a lookup is open in both
