--- a/hookrouter/desk/__init__.py
+++ b/hookrouter/desk/__init__.py
@@ -1,5 +1,5 @@
-"""The control side of purges: the desk, which orders and keeps them, and relays, which tell them on.
+"""The control plane of purges: the desk, which orders and stores them, and relays, which pass them on.
 
-Processes of their own beside the routers. What they decide is in hookrouter/purges; here it meets HTTP, the
-store's thread and the clock.
+Both run as processes of their own beside the routers. The decision logic is in hookrouter/purges; this
+package connects it to HTTP, the thread of the store and the clock.
 """
--- a/hookrouter/desk/admission.py
+++ b/hookrouter/desk/admission.py
@@ -1,7 +1,7 @@
-"""Who comes to the feed of a desk or relay is admitted one by one: the gate's decisions on requests.
+"""Admission control for the feed of a desk or relay: applies the gate's decisions to HTTP requests.
 
-A request that waits holds its connection and one row. What it is given is settled when it is admitted, since
-the order moves on while it waits.
+A waiting request holds its connection and one table row. Whether it gets a snapshot or resumes is determined
+when it is admitted, since the order advances while it waits.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
 from .publisher import FollowRequest, Publisher
 from .web import json_response
 
-TICK_INTERVAL = 0.01  # seconds between looks while anybody waits
-MAX_SHORT_TAIL = 2 * wire.MOST_IN_EVENT  # purges that a cheap admission is given at most
-UNITS_PER_SECOND = 10_000
+TICK_INTERVAL = 0.01  # seconds between calls of the gate while requests wait
+MAX_SHORT_TAIL = 2 * wire.MOST_IN_EVENT  # purges; a follower that lacks more is as costly as a snapshot
+UNITS_PER_SECOND = 10_000  # times are in tenths of a millisecond
 
 
 class WaitingRequest(NamedTuple):
-    """A request of the feed that has not been admitted."""
+    """A feed request that is queued, or that is being sent its snapshot or tail."""
 
     request: server.Request
     follow_request: FollowRequest
 
 
 class Admission:
-    """The gate's host: requests in, its effects carried out on them."""
+    """Passes feed requests to the admission gate and applies the gate's effects to them."""
 
     def __init__(
         self,
@@ -45,7 +45,9 @@
         name: str,
         elsewhere: Callable[[int, int, float], str] | None = None,
     ) -> None:
-        """publisher: the Desk or Relay; its followers are those that will come. elsewhere: see Gate."""
+        """sections: of the operator's file. publisher: the Desk or Relay; the followers that it knows are
+        expected to reconnect. elsewhere: see Gate.
+        """
         section = sections["admission"]
         secret = section["secret"] or sections["purges"]["secret"]
         terms = Terms(
@@ -54,7 +56,7 @@
         self.reactor, self.log, self.publisher = reactor, log, publisher
         known_followers = len(publisher.followers.rows)
         self.gate = Gate(terms, steady(), known_followers, Random(), elsewhere)
-        self.waiting: dict[int, WaitingRequest] = {}  # by a number of its own, the last of which is last
+        self.waiting: dict[int, WaitingRequest] = {}  # by connection id
         self.last_connection_id = 0
         self.tick_call = self.wake_call = None
         self.state = self.gate.state
@@ -63,23 +65,25 @@
             self._schedule_tick(TICK_INTERVAL)
 
     def facts(self) -> dict[str, Any]:
-        """What /v1/status shows of the gate."""
+        """Returns the state of the gate for /v1/status."""
         return self.gate.facts()
 
     def stop(self) -> None:
-        """Cancels its calls."""
+        """Cancels the scheduled calls."""
         for delayed in (self.tick_call, self.wake_call):
             if delayed is not None and delayed.active():
                 delayed.cancel()
 
-    # ---- what comes
+    # ---- events
 
     def add_request(self, request: server.Request, follow_request: FollowRequest) -> bytes | int:
-        """For a request of the feed; what render gives back. Malformed where its X-Lease is no number."""
+        """Queues a feed request; returns the result of render. Raises Malformed for an invalid X-Lease."""
         placement = self.publisher.tail.place(follow_request.position, follow_request.highest_epoch)
         if placement == tail.RAISE:
             self.publisher.raise_epoch(follow_request.highest_epoch)
-            return json_response(request, 409, {"error": "come again"}, Retry_After=1)
+            return json_response(
+                request, 409, {"error": "position cannot be served now; retry"}, Retry_After=1
+            )
         member = (request.getHeader(b"x-member") or request.getClientAddress().host.encode()).decode(
             "latin-1"
         )
@@ -103,7 +107,7 @@
         return server.NOT_DONE_YET
 
     def _transfer_kind(self, follow_request: FollowRequest) -> str:
-        """By what it costs: a long tail is no cheaper than a snapshot."""
+        """Returns the kind of transfer by cost: a long tail is no cheaper than a snapshot."""
         order = self.publisher.tail
         is_short = order.newest.n - follow_request.position.n <= MAX_SHORT_TAIL
         return (
@@ -116,7 +120,7 @@
         if self.waiting.pop(connection_id, None) is not None:
             self._apply(self.gate.disconnected(steady(), connection_id))
 
-    # ---- what is done
+    # ---- effects
 
     def _apply(self, effects: list) -> None:
         for effect in effects:
@@ -143,7 +147,7 @@
             self.log(f"admission: {self.state}", was=previous_state, waiting=len(self.gate.queue))
 
     def _apply_later(self, handler: Callable, *args: object) -> None:
-        """In the reactor's next turn: what was admitted may end before the gate has returned."""
+        """Calls the gate in the reactor's next turn: an admission may complete while the gate still runs."""
         self.reactor.callLater(0, lambda: self.publisher.stopped or self._apply(handler(steady(), *args)))
 
     def _admit(self, connection_id: int, waiting_request: WaitingRequest) -> None:
@@ -160,7 +164,9 @@
         if not publisher.follow(request, waiting_request.follow_request, caught_up):
             del self.waiting[connection_id]
             self._apply_later(self.gate.completed, connection_id, 1)
-            request.write(json_response(request, 409, {"error": "come again"}, Retry_After=1))
+            request.write(
+                json_response(request, 409, {"error": "position cannot be served now; retry"}, Retry_After=1)
+            )
             request.finish()
 
     def _send_defer(self, request: server.Request, reply: messages.Defer) -> None:
@@ -174,10 +180,10 @@
             fields["X_Ticket"] = reply.ticket
         if reply.elsewhere:
             fields["X_Elsewhere"] = reply.elsewhere
-        request.write(json_response(request, 503, {"error": "come when told"}, **fields))
+        request.write(json_response(request, 503, {"error": "admission deferred; retry as stated"}, **fields))
         request.finish()
 
-    # ---- time
+    # ---- timers
 
     def _schedule_tick(self, seconds: float) -> None:
         self.tick_call = self.reactor.callLater(seconds, self._tick)
--- a/hookrouter/desk/clock.py
+++ b/hookrouter/desk/clock.py
@@ -1,4 +1,4 @@
-"""The desk's clock: the wall's time, which purges are stamped with."""
+"""The desk's clock, which gives purges their timestamps."""
 
 import time
 from collections.abc import Callable
@@ -9,15 +9,18 @@
 
 
 class Clock:
-    """The wall's time in tenths of a millisecond, never back: steps back of the wall are not followed."""
+    """Monotonic wall-clock time in tenths of a millisecond.
+
+    Follows steps forward of the wall clock; after a step back it advances with the steady clock.
+    """
 
     def __init__(self, wall: Callable[[], float] = time.time, steady: Callable[[], int] = steady) -> None:
-        """wall: seconds since 1970; steady: tenths of a millisecond of a clock that no one sets."""
+        """wall: seconds since 1970; steady: a monotonic clock in tenths of a millisecond."""
         self.wall, self.steady = wall, steady
         self.now, self.last_steady = int(wall() * UNITS_PER_SECOND), steady()
 
     def __call__(self) -> int:
-        """The time now."""
+        """Returns the current time in tenths of a millisecond since 1970."""
         steady_now = self.steady()
         self.now, self.last_steady = (
             max(self.now + steady_now - self.last_steady, int(self.wall() * UNITS_PER_SECOND)),
--- a/hookrouter/desk/desk.py
+++ b/hookrouter/desk/desk.py
@@ -1,4 +1,4 @@
-"""The desk: takes purges, makes them durable, publishes them in order, says from when each is in effect."""
+"""The desk: accepts purges, makes them durable, publishes them in order, tracks when each takes effect."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 from .sealing import SealingLoop
 from .store import RestoredOrder, Store
 
-TRUNCATE_INTERVAL = 10.0  # seconds between looks at what is older than the hold
-REOPEN_INTERVAL = 1.0  # seconds between tries to read a store that failed
+TRUNCATE_INTERVAL = 10.0  # seconds between removals of purges older than the hold
+REOPEN_INTERVAL = 1.0  # seconds between attempts to read a store that failed
 
 
 class Desk(Publisher):
-    """Takes submissions; carries out the ledger's effects on store and followers."""
+    """Accepts submissions; applies the ledger's effects to the store and the followers."""
 
     def __init__(
         self,
@@ -40,14 +40,14 @@
         restored: RestoredOrder,
         max_batch_size: int = ledger.MOST_BATCH,
     ) -> None:
-        """purges, desk: sections of the operator's file. read: what the store held, under its new epoch."""
+        """purges, desk: sections of the operator's file. restored: the stored order, under its new epoch."""
         super().__init__(reactor, log)
         self.clock = Clock()
         self.limits = ledger.Limits(desk["most live"], desk["most patterns"], max_batch_size)
         self.pending_answers: dict[int, Deferred] = {}  # by the token of the submission
         self.last_token = 0
         self.store, (self.tail, keys, loaded) = store, restored
-        # Names to be noted in the store, and struck.
+        # Follower names to be added to the store, and to be removed.
         self.names_to_add: dict[str, int] = {}
         self.names_to_remove: set[str] = set()
         self.writing_names = False
@@ -56,27 +56,30 @@
         now = steady()
         self.ledger = ledger.Ledger(self.tail, keys, self.limits)
         self.followers = Followers(purges["lease"], purges["skew"], ROUNDING, now, loaded.followers)
-        self.stored_names = {name for name, _ in loaded.followers}  # that are in the store for sure
+        self.stored_names = {name for name, _ in loaded.followers}  # known to be on disk
         self._load_recent(loaded)
         self._track_former_purges(now)
 
     # ---- the store
 
     def _track_former_purges(self, now: int) -> None:
-        """What a former life took lately may not be in effect yet; its clock may have been another's."""
-        self.recalled_at = self.clock()  # from when this life counts what those before took
+        """Tracks the purges that a previous incarnation accepted recently: they may not be in effect yet.
+
+        The margin allows for that incarnation having run on another machine's clock.
+        """
+        self.recalled_at = self.clock()  # start of the wait for previous incarnations' purges
         accepted_since = self.recalled_at - self.followers.doubt()
         self.followers.read_anew(
             now, [purge for purge in self.tail.recent if purge.timestamp >= accepted_since]
         )
 
     def _load_recent(self, loaded: LoadedPurges) -> None:
-        """What is shown of purges that the store holds."""
-        self.floor = loaded.floor  # all up to there is folded away
+        """Loads the purges shown to operators from the store."""
+        self.floor = loaded.floor  # number of the last purge removed from the start
         self.recent.recall(loaded.rows[-MAX_RECENT:])
 
     def _reopen(self, min_epoch: int = 0) -> None:
-        """Reads the store again under a new epoch; tried until it can be read."""
+        """Reads the store again under a new epoch of at least min_epoch; retries until it succeeds."""
         if not self.stopped:
             self.store.reopen(min_epoch).addCallbacks(
                 self._reopened, self._not_reopened, errbackArgs=(min_epoch,)
@@ -89,7 +92,7 @@
         self._load_recent(loaded)
         self.log("store read again", epoch=self.tail.epoch, newest=self.tail.newest.n)
         for stream in list(self.streams):
-            stream.abort()  # each goes on from its place in the order as it is now
+            stream.abort()  # each reconnects and resumes from its position in the order as it is now
 
     def _not_reopened(self, failure: Failure, min_epoch: int) -> None:
         self.log("store cannot be read, purges are refused", failure.getErrorMessage(), level="error")
@@ -97,7 +100,10 @@
             self.reactor.callLater(REOPEN_INTERVAL, self._reopen, min_epoch)
 
     def raise_epoch(self, highest_epoch: int) -> None:
-        """A follower has heard of a later life: this store is an older copy. Once for all that say so."""
+        """Raises the epoch above one that a follower has seen: this store was restored from an older copy.
+
+        Done once, however many followers report it.
+        """
         if self.ledger.state == ledger.BROKEN:
             return
         self.log(
@@ -114,7 +120,7 @@
     def submit(
         self, key: str, items: tuple[tuple[str, str], ...], everything: bool
     ) -> Deferred[Accepted | Refused]:
-        """The fields of a Submission; fires once it is durable, or refused."""
+        """Submits purges (fields of a Submission). The Deferred fires once they are durable, or refused."""
         self.last_token += 1
         answer = self.pending_answers[self.last_token] = Deferred()
         self._apply(self.ledger.submit(self.clock(), Submission(self.last_token, key, items, everything)))
@@ -153,13 +159,13 @@
         self.settle()
 
     def in_effect(self, number: int, accepted_at: int, effective_at: int) -> None:
-        """Purge n is in effect from at on, by the steady clock: it is shown by the desk's."""
+        """Records when a purge took effect, converted from the steady clock to the desk's."""
         self.recent.in_effect(number, self.clock() + effective_at - steady())
 
-    # ---- now and then
+    # ---- periodic work
 
     def start(self) -> None:
-        """Heartbeats and folding begin."""
+        """Starts heartbeats, the removal of old purges, and sealing."""
         super().start()
         self._truncate()
         self.sealing_loop.start()
@@ -178,7 +184,7 @@
         return succeed(False) if self.ledger.state == ledger.BROKEN else self.store.seal()
 
     def is_stored(self, name: str, generation: int) -> bool:
-        """Whether the store knows this follower; if not, it does soon."""
+        """Returns whether the store holds this follower's name; if not, schedules its write."""
         if name in self.stored_names:
             return True
         self.names_to_add[name] = generation
@@ -187,13 +193,13 @@
         return False
 
     def follower_left(self, name: str) -> None:
-        """Strikes it from the store."""
+        """Removes its name from the store."""
         self.names_to_add.pop(name, None)
         self.names_to_remove.add(name)
         self._write_names()
 
     def tick(self) -> None:
-        """Strikes those off that have had no lease for long, and looks what is in effect."""
+        """Removes followers that have long had no lease, and checks which purges are in effect."""
         self.names_to_remove.update(
             name for name in self.followers.struck_off() if name not in self.followers.rows
         )
@@ -201,7 +207,9 @@
         self.settle()
 
     def _write_names(self) -> None:
-        """One write at a time; a name counts as noted once it is on disk, and as struck before."""
+        """Writes name changes, one write at a time. An added name counts once it is on disk, a removed one no
+        longer counts before the write.
+        """
         if (
             self.writing_names
             or not (self.names_to_add or self.names_to_remove)
@@ -224,26 +232,26 @@
         self.log("store cannot be written", failure.getErrorMessage(), level="error")
 
     def stop(self) -> Deferred[None]:
-        """Fires once the store is closed."""
+        """Stops the desk; the Deferred fires once the store is closed."""
         super().stop()
         self.sealing_loop.stop()
         done = self.store.close() if self.ledger.state != ledger.BROKEN else succeed(None)
         done.addErrback(lambda _: None)
         return done.addCallback(lambda _: self.reactor.callLater(0, self.store.release))
 
-    # ---- what is shown
+    # ---- status
 
     def purge_facts(self, number: int) -> dict[str, Any] | None:
-        """What is known of one of the newest purges, or None; see RecentPurges.facts."""
+        """Returns the facts of one of the newest purges, or None; see RecentPurges.facts."""
         return self.recent.facts(number, steady(), self.recalled_at, self.followers)
 
     def newest(self, limit: int) -> tuple[list[dict[str, Any]], int]:
-        """(facts of so many of the newest purges, how many the store holds in all)."""
+        """Returns (facts of up to limit of the newest purges, how many the store holds in total)."""
         rows = [self.purge_facts(number) | {"behind": None} for number in self.recent.newest(limit)]
         return rows, self.tail.newest.n - self.floor
 
     def facts(self) -> dict[str, Any]:
-        """What /v1/status answers at a desk."""
+        """Returns the body of /v1/status at a desk."""
         return {
             **super().facts(),
             "patterns": self.ledger.patterns,
--- a/hookrouter/desk/local_store.py
+++ b/hookrouter/desk/local_store.py
@@ -1,4 +1,4 @@
-"""The desk's order on the local disk; what blocks runs in a thread, in the order of the calls."""
+"""The desk's store on the local disk. Blocking calls run in one thread, in the order of the calls."""
 
 import sqlite3
 import time
@@ -18,14 +18,12 @@
 from ..stores.purge_slices import SealingTerms
 from .store import RestoredOrder
 
-MIN_UNSEALED = (
-    RECENT + MOST_ITEMS
-)  # newest purges that are not sealed: whole submissions of all that a tail keeps
-SEAL_BATCH_SIZE = 500  # purges in one step: some milliseconds of the store's thread
+MIN_UNSEALED = RECENT + MOST_ITEMS  # purges; covers the whole submissions of all that a tail keeps
+SEAL_BATCH_SIZE = 500  # purges sealed per step: some milliseconds of the store's thread
 
 
 def restore_order(loaded: LoadedPurges, hold: int, epoch: int) -> RestoredOrder:
-    """What a store held, for a life of that epoch. hold: as in PurgeTerms."""
+    """Builds the order from what a store held, for the incarnation of that epoch. hold: as in PurgeTerms."""
     sealed = loaded.sealed
     tail, keys = Tail(hold, epoch, max(loaded.floor, sealed.through), archive=sealed.archive), {}
     tail.recall(sealed.exact, sealed.firsts)
@@ -36,26 +34,30 @@
 
 
 def sealing_terms(purges: Mapping[str, Any]) -> SealingTerms:
-    """How a store seals. purges: section of the operator's file."""
+    """Returns the parameters of sealing. purges: section of the operator's file."""
     return SealingTerms(purges["hold"], purges["sealed"], MIN_UNSEALED)
 
 
 class LocalStore:
-    """What keeps a desk's order; where the fleet's log does, fleet/member/purges.py stands in its place.
+    """Stores a desk's order in a local file. With the fleet's log, Kept of fleet/member/purges.py replaces
+    it.
 
-    Each Deferred fires once what was asked is on disk; fails with sqlite3.Error, or UnusableStore on reopen.
+    Each Deferred fires once the change is on disk; it fails with sqlite3.Error, or UnusableStore on reopen.
     """
 
     def __init__(self, reactor: IReactorThreads, path: str, purges: Mapping[str, Any]) -> None:
-        """Nothing is opened before read(). purges: section of the operator's file."""
+        """purges: section of the operator's file. read() opens the file."""
         self.reactor, self.path = reactor, path
         self.terms = sealing_terms(purges)
         self.store: PurgeLog | None = None
-        self.pool = ThreadPool(1, 1, "store")  # one thread: what it is given happens in order
+        self.pool = ThreadPool(1, 1, "store")  # one thread, so calls run in order
         self.pool.start()
 
     def read(self, min_epoch: int) -> RestoredOrder:
-        """All of it under a new epoch, at least least; blocks. UnusableStore names the file and the fault."""
+        """Opens the file and reads it under a new epoch of at least min_epoch; blocks.
+
+        Raises UnusableStore with the file and the fault.
+        """
         self.store = PurgeLog(self.path)
         try:
             loaded = self.store.load(self.terms.hold, self.terms.most_sealed)
@@ -72,7 +74,7 @@
         return deferToThreadPool(self.reactor, self.pool, call, *args)
 
     def reopen(self, min_epoch: int) -> Deferred[RestoredOrder]:
-        """As read, in the thread: behind what is being written."""
+        """Closes the file and reads it again in the thread, after pending writes."""
         return self._run_in_thread(self._close_and_read, min_epoch)
 
     def _close_and_read(self, min_epoch: int) -> RestoredOrder:
@@ -80,27 +82,27 @@
         return self.read(min_epoch)
 
     def append(self, batch: tuple[tuple[Purge, str], ...]) -> Deferred[None]:
-        """The next purges of the order, each with the key of its submission."""
+        """Appends the next purges of the order, each with the key of its submission."""
         return self._run_in_thread(self.store.append, batch)
 
     def truncate(self, up_to: int) -> Deferred[None]:
-        """Forgets all up to that number."""
+        """Removes the purges up to and including that number."""
         return self._run_in_thread(self.store.truncate, up_to)
 
     def seal(self) -> Deferred[bool]:
-        """A step that seals old purges; whether more of them wait."""
+        """Seals one batch of old purges; the result says whether more are waiting."""
         return self._run_in_thread(self.store.seal_batch, self.terms, SEAL_BATCH_SIZE).addCallback(
             lambda count: count == SEAL_BATCH_SIZE
         )
 
     def update_followers(self, joined: list[tuple[str, int]], left: list[str]) -> Deferred[None]:
-        """joined: (name, generation) of those to be remembered; left: names of those to be forgotten."""
+        """joined: (name, generation) of followers to be added; left: names of followers to be removed."""
         return self._run_in_thread(self.store.update_followers, joined, left)
 
     def close(self) -> Deferred[None]:
-        """Closes the file behind all that was asked before."""
+        """Closes the file after all earlier calls."""
         return self._run_in_thread(self.store.close)
 
     def release(self) -> None:
-        """After close has fired, or where nothing was read."""
+        """Stops the thread; called after close has fired, or if nothing was read."""
         self.pool.stop()
--- a/hookrouter/desk/publisher.py
+++ b/hookrouter/desk/publisher.py
@@ -1,4 +1,4 @@
-"""What desk and relay have in common: an order published to followers, and leases that they renew."""
+"""The base of desk and relay: publishes the order of purges to followers, and renews their leases."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 if TYPE_CHECKING:
     from .admission import Admission
 
-HEARTBEAT_INTERVAL = 0.5  # seconds between heartbeats: four in the shortest silence that a follower bears
-SETTLE_DELAY = 0.002  # seconds until a look whether purges are in effect
-MAX_STREAMS = 2_000  # followers of one desk or relay; more hang off relays
+HEARTBEAT_INTERVAL = 0.5  # seconds between heartbeats: four within the shortest feed timeout of a follower
+SETTLE_DELAY = 0.002  # seconds from an event to the check which purges are in effect
+MAX_STREAMS = 2_000  # connected followers per desk or relay; larger fleets use relays
 OUTDATED_FOLLOWER = "follower of a former version cannot be given sealed purges, turned away; update it"
 
 
 class FollowRequest(NamedTuple):
-    """A follower that asks for the order. seen: the highest epoch that it has heard of."""
+    """A follower's request for the feed. position: where it resumes; highest_epoch: that it has seen."""
 
     position: Position
     highest_epoch: int
-    sealed_through: Position | None  # up to there it has all that is sealed; None: it knows no slices
+    sealed_through: Position | None  # it holds all slices up to there; None: it does not support slices
 
 
 class Publisher:
-    """Base of Desk and Relay, which set tail, followers (the decisions) and clock (the desk's, in tenths of a
-    millisecond), and override what differs between them.
+    """Base of Desk and Relay. These set tail, followers (the lease decisions) and clock (the desk's, in
+    tenths of a millisecond), and override what differs between them.
     """
 
     tail: purge_tail.Tail
@@ -43,31 +43,31 @@
     clock: Callable[[], int]
 
     def __init__(self, reactor: IReactorTime, log: Log) -> None:
-        """Nothing is served before start()."""
+        """Serves nothing before start()."""
         self.reactor, self.log = reactor, log
-        self.streams: dict[Stream, bool] = {}  # Stream -> True, in the order in which they came
+        self.streams: dict[Stream, bool] = {}  # an ordered set, in order of arrival
         self.counters: dict[str, int] = {}
-        self.last_encoded: tuple[wire.Event | None, bytes] = None, b""  # the event written last, and as bytes
-        self.settle_call, self.settle_scheduled = None, False  # settling: a look is due in a moment
+        self.last_encoded: tuple[wire.Event | None, bytes] = None, b""  # the last event, and its bytes
+        self.settle_call, self.settle_scheduled = None, False  # scheduled: within SETTLE_DELAY
         self.stopped = False
-        self.admission: Admission | None = None  # with [admission]: what paces those that come
+        self.admission: Admission | None = None  # set with [admission]: paces reconnects
 
     def encode(self, event: wire.Event) -> bytes:
-        """The event as it is written; most followers are written the same one after the other."""
+        """Returns the event as bytes; cached, since the same event goes to many followers in a row."""
         if event != self.last_encoded[0]:
             self.last_encoded = event, b"data: " + wire.write(event) + b"\n\n"
         return self.last_encoded[1]
 
     def count(self, name: str) -> None:
-        """One more of that counter."""
+        """Increments a counter."""
         self.counters[name] = self.counters.get(name, 0) + 1
 
     def start(self) -> None:
-        """Heartbeats begin."""
+        """Starts the heartbeats."""
         self._heartbeat()
 
     def stop(self) -> None:
-        """Cuts all followers and admits none."""
+        """Aborts the connections of all followers and admits no more."""
         self.stopped = True
         if self.admission is not None:
             self.admission.stop()
@@ -83,28 +83,31 @@
         self.reactor.callLater(HEARTBEAT_INTERVAL, self._heartbeat)
 
     def tick(self) -> None:
-        """Twice a second; for subclasses."""
+        """Called twice a second; for subclasses."""
 
     def ready(self) -> bool:
-        """Whether followers can be served yet."""
+        """Returns whether followers can be served yet."""
         return True
 
     def raise_epoch(self, highest_epoch: int) -> None:
-        """A follower has heard of the epoch seen, a later life of the desk; only the desk can do anything."""
+        """Handles a follower that has seen a higher epoch than the desk's; only the desk can react to it."""
 
     def is_stored(self, name: str, generation: int) -> bool:
-        """Whether that name would outlive a crash of this process; if not, it soon does."""
+        """Returns whether this follower's name is durable; if not, schedules its write."""
         raise NotImplementedError
 
     def follower_left(self, name: str) -> None:
-        """That name need not outlive this process any more; for subclasses."""
+        """Called when a follower has left: its name need not be durable any more; for subclasses."""
 
     # ---- followers
 
     def follow(
         self, request: Request, follow_request: FollowRequest, on_caught_up: Callable[[], None] | None = None
     ) -> bool:
-        """A follower's connection from its place on; False where it has to come again. given: see Stream."""
+        """Starts a follower's stream from its position; returns False if it has to reconnect.
+
+        on_caught_up: see Stream.
+        """
         placement = self.tail.place(follow_request.position, follow_request.highest_epoch)
         if placement == purge_tail.RAISE:
             self.raise_epoch(follow_request.highest_epoch)
@@ -135,24 +138,24 @@
         return True
 
     def slice(self, digest: str) -> bytes | None:
-        """The bytes of a sealed slice that a snapshot has listed, or None where that was long ago."""
+        """Returns the bytes of a sealed slice that a recent snapshot has listed, else None."""
         return self.tail.catalogue.body(digest)
 
     def publish(self) -> None:
-        """Writes what the order has gained to all that keep up."""
+        """Writes new purges to all followers that keep up."""
         for stream in list(self.streams):
             if not stream.pumping:
                 stream.pump()
 
     def renew(self, request: wire.Renew) -> wire.Granted | None:
-        """wire.Granted, or None where the follower is not one to be had."""
+        """Renews a follower's lease; returns None if it is refused (see Followers.renew)."""
         now = steady()
         if request.leave:
             self.followers.left(request.name, request.generation)
             self.follower_left(request.name)
             self.settle()
             return self._granted(0)
-        # Else a crash would leave a lease behind of which nobody knows.
+        # Otherwise a crash would leave a lease that no store records.
         if not self.is_stored(request.name, request.generation):
             return self._granted(0)
         on_branch = self.tail.place(Position(request.epoch, request.n), request.seen) == purge_tail.RESUME
@@ -180,11 +183,15 @@
         return wire.Granted(span, self.tail.epoch, self.clock(), self.followers.settling())
 
     def lease_left(self) -> int | None:
-        """The rest of the lease held here, which bounds those of the followers; None: nothing does."""
+        """Returns the rest of this publisher's own lease, which bounds those of its followers; None: no
+        bound.
+        """
         return None
 
     def settle(self) -> None:
-        """Looks what is in effect in a moment: many answer for one purge at once, and each look asks all."""
+        """Schedules the check which purges are in effect. It scans all followers, and many answer at once for
+        one purge, so one check covers them.
+        """
         if not self.settle_scheduled:
             self.settle_scheduled = True
             self._settle_in(SETTLE_DELAY)
@@ -204,12 +211,12 @@
             self._settle_in(max(SETTLE_DELAY, (due - now) / 10_000))
 
     def in_effect(self, number: int, accepted_at: int, effective_at: int) -> None:
-        """Purge n, accepted then, is in effect from at on, by the steady clock; for subclasses."""
+        """Called when a purge has taken effect; times are of the steady clock; for subclasses."""
 
-    # ---- what is shown
+    # ---- status
 
     def facts(self) -> dict[str, Any]:
-        """What /v1/status answers; operators know its keys."""
+        """Returns the body of /v1/status; its keys are an interface to operators."""
         now = steady()
         rows = self.followers.rows.values()
         return {
--- a/hookrouter/desk/recent.py
+++ b/hookrouter/desk/recent.py
@@ -1,4 +1,4 @@
-"""What the desk shows of its newest purges: by whom, when accepted, and from when each is in effect."""
+"""The desk's status of its newest purges: submission key, and when each was accepted and took effect."""
 
 from collections.abc import Iterable
 from typing import Any, NamedTuple
@@ -7,33 +7,33 @@
 from ..purges.followers import Followers
 from ..purges.types import Purge
 
-MAX_RECENT = 10_000  # purges whose numbers and times are shown on request
-MAX_BEHIND = 100  # followers that one answer names
+MAX_RECENT = 10_000  # purges whose status can be requested
+MAX_BEHIND = 100  # followers listed as behind in one answer
 
 
 class RecentPurge(NamedTuple):
-    """One of them. at: the steady time at which it was accepted; None: by a former life of the desk."""
+    """A purge and its acceptance. accepted_steady: by the steady clock; None: by a previous incarnation."""
 
     purge: Purge
-    accepted_at: int  # when it was accepted, by the desk's clock
+    accepted_at: int  # by the desk's clock
     accepted_steady: int | None
     key: str  # of its submission
 
 
 class RecentPurges:
-    """So many of the newest, by number. Times are in tenths of a millisecond; wall: of the desk's clock."""
+    """The newest purges by number. Times are in tenths of a millisecond, of the desk's clock or steady."""
 
     def __init__(self) -> None:
-        """Knows none yet."""
-        self.rows: dict[int, RecentPurge] = {}  # the newest last
-        self.effective_at: dict[int, int] = {}  # n -> wall time from which it is in effect
+        """Starts empty."""
+        self.rows: dict[int, RecentPurge] = {}  # in order, the newest last
+        self.effective_at: dict[int, int] = {}  # number -> time from which it is in effect
 
     def recall(self, stored: Iterable[tuple[Purge, str]]) -> None:
-        """The purges of a store, each with its key, in place of all; those of this life stay as known."""
+        """Replaces all rows by a store's purges, each with its key; keeps the rows of this incarnation."""
         known, self.rows = self.rows, {}
         for purge, key in stored:
             row = known.get(purge.n)
-            # The time of the order stands in for that of the acceptance, which is after it by one write.
+            # The timestamp stands in for the time of acceptance, which is one disk write later.
             is_same = row is not None and row.purge == purge
             self.rows[purge.n] = row if is_same else RecentPurge(purge, purge.timestamp, None, key)
         self.effective_at = {
@@ -43,9 +43,11 @@
         }
 
     def add(self, now: int, wall_now: int, purges: Iterable[Purge], keys: Iterable[str]) -> None:
-        """Accepted now, by the steady clock. keys: of their submissions, one for each."""
+        """Adds purges accepted now. now: steady time; wall_now: desk time; keys: submission key of each
+        purge.
+        """
         for purge, key in zip(purges, keys):
-            self.rows.pop(purge.n, None)  # of before a store was restored
+            self.rows.pop(purge.n, None)  # from before the store was restored
             self.effective_at.pop(purge.n, None)
             self.rows[purge.n] = RecentPurge(purge, wall_now, now, key)
         while len(self.rows) > MAX_RECENT:
@@ -54,17 +56,19 @@
             self.effective_at.pop(number, None)
 
     def in_effect(self, number: int, effective: int) -> None:
-        """Purge n is in effect from that time on."""
+        """Records the time from which a purge is in effect."""
         if number in self.rows:
             self.effective_at[number] = effective
 
     def newest(self, limit: int) -> list[int]:
-        """Numbers of so many of the newest, the newest last."""
+        """Returns the numbers of up to limit of the newest purges, the newest last."""
         return list(self.rows)[-limit:]
 
     def facts(self, number: int, now: int, recalled_at: int, followers: Followers) -> dict[str, Any] | None:
-        """What is known of purge n, or None. recalled: the wall time from when this life counts what those
-        before it accepted. With `by` it was in effect by in_effect_ms.
+        """Returns the facts of a purge, or None if it is not among the newest.
+
+        now: steady time. recalled_at: the desk time at which this incarnation read the store. `by`: the purge
+        was accepted by a previous incarnation, so in_effect_ms is an upper bound.
         """
         if number not in self.rows:
             return None
@@ -72,7 +76,8 @@
         is_former, effective = accepted_steady is None, self.effective_at.get(number)
         if is_former:
             latest = recalled_at + followers.latest(0)
-            # Not doubtful at the start of this life: in effect by the span that the doubt has.
+            # Older than the uncertain period at the start of this incarnation: in effect after at most that
+            # period.
             if effective is None and accepted_at < recalled_at - followers.doubt():
                 effective = latest = accepted_at + 2 * followers.span + followers.settling()
         else:
--- a/hookrouter/desk/reconnect_pacing.py
+++ b/hookrouter/desk/reconnect_pacing.py
@@ -1,6 +1,4 @@
-"""With [admission], those that come back to a desk or relay are let in one by one; without it nothing of it
-is loaded.
-"""
+"""Optional admission control of reconnecting followers; without [admission] its modules are not imported."""
 
 from collections.abc import Mapping
 from typing import TypeVar
@@ -12,7 +10,7 @@
 
 
 def add_admission(publisher: AnyPublisher, sections: Mapping, name: str, log: Log) -> AnyPublisher:
-    """That publisher, with its admission where sections, those of the operator's file, have one."""
+    """Returns the publisher, with admission control if the operator's file (sections) has [admission]."""
     if "admission" in sections:
         from .admission import Admission
 
--- a/hookrouter/desk/relay.py
+++ b/hookrouter/desk/relay.py
@@ -1,4 +1,4 @@
-"""A relay: follows the desk, passes on what it hears, and reports upwards for the followers below."""
+"""A relay: follows the desk, passes purges on to its own followers, and reports their positions upstream."""
 
 import json
 import os
@@ -20,18 +20,18 @@
 from .clock import Clock
 from .publisher import Publisher, steady
 
-WRITE_DELAY = 0.01  # seconds
+WRITE_DELAY = 0.01  # seconds; names that arrive within it share one write
 
 
 class FollowerNamesFile:
-    """The names of followers in a file, replaced whole: half a file is never read."""
+    """A file of follower names, replaced atomically."""
 
     def __init__(self, path: str) -> None:
-        """Neither read nor made here."""
+        """Neither reads nor creates the file."""
         self.path = path
 
     def read(self) -> list[tuple[str, int]] | None:
-        """(name, generation) of each, in order; None where the file is not as it was written."""
+        """Returns (name, generation) of each follower by name; None if the file is corrupted."""
         try:
             with open(self.path, encoding="utf-8") as file:
                 rows = json.load(file)
@@ -42,7 +42,7 @@
             return None
 
     def write(self, rows: Iterable[tuple[str, int]]) -> None:
-        """On disk when it returns; OSError where it cannot be."""
+        """Replaces the file; it is on disk on return. Raises OSError."""
         with open(f"{self.path}.new", "w", encoding="utf-8") as file:
             json.dump(dict(rows), file)
             file.flush()
@@ -51,7 +51,9 @@
 
 
 class Relay(Publisher):
-    """Its followers' leases end with its own at the latest; it reports the least of what they applied."""
+    """A publisher below the desk. Its followers' leases end with its own at the latest; it reports the lowest
+    position that they have applied.
+    """
 
     def __init__(
         self,
@@ -62,8 +64,8 @@
         relay: Mapping[str, Any],
         paced: bool = False,
     ) -> None:
-        """purges, relay: sections of the operator's file. paced: with [admission], it comes back when the
-        upstream's gate says so.
+        """purges, relay: sections of the operator's file. paced: set with [admission]; the relay reconnects
+        when the upstream's gate says so.
         """
         super().__init__(reactor, log)
         self.clock = Clock()
@@ -74,7 +76,7 @@
         if names is None:
             log("relay's file of members cannot be read, begun anew", relay["store"], level="error")
         self.followers = Followers(purges["lease"], purges["skew"], ROUNDING, steady(), names or (), 0)
-        self.stored_names = {name for name, _ in names or ()}  # that are in the file for sure
+        self.stored_names = {name for name, _ in names or ()}  # known to be on disk
         self.new_names: set[str] = set()
         address = (relay["above"],) if relay["above"] else purges["desk"]
         self.feed = PurgeFeed(
@@ -84,62 +86,65 @@
             self.feed.pace()
 
     def start(self) -> None:
-        """Heartbeats begin, and it follows its upstream."""
+        """Starts heartbeats and the feed from upstream."""
         super().start()
         self.feed.start()
 
     def stop(self) -> Deferred[None]:
-        """Fires once the upstream knows that this relay has left, or cannot be told."""
+        """Stops the relay; the Deferred fires once the upstream knows that it left, or is unreachable."""
         super().stop()
         return self.feed.leave()
 
     def ready(self) -> bool:
-        """Whether it has a place in the order, that is has heard of an epoch, and lacks no slices."""
+        """Returns whether it has a position in the order (has learned an epoch) and lacks no slices."""
         return self.tail.epoch > 0 and not self.feed.catching_up()
 
     # ---- from upstream
 
     def heard(self, epoch: int) -> None:
-        """The upstream spoke under that epoch."""
+        """Handles a message from upstream under that epoch."""
         self.tail.epoch = max(self.tail.epoch, epoch)
 
     def purged(self, purges: Iterable[Purge]) -> None:
-        """The next purges of the order."""
-        # How long a purge has been in effect is not known here: who lacks one gets no lease until it has it.
+        """Handles the next purges of the order."""
+        # A relay does not know when a purge took effect: a follower that lacks one gets no lease until it has
+        # it.
         for purge in purges:
             self.tail.add(purge)
         self.publish()
         self.settle()
 
     def whole(self, purges: Iterable[Purge], newest: Position) -> None:
-        """A snapshot: those below go on from their places in the order as it is now."""
+        """Handles a snapshot; the followers reconnect and resume from their positions in the new order."""
         self.tail.take(purges, newest)
         self.followers.other_branch()
         for stream in list(self.streams):
             stream.abort()
 
     def adopt(self, state: SliceState) -> None:
-        """A sealed slice of the snapshot."""
+        """Adds a sealed slice of the snapshot."""
         self.tail.merge(state)
 
     def granted(self, asked: int, answered: int, span: int, desk: int) -> None:
-        """A renewal asked at that steady time was granted for span; answered, desk: wall times, not used."""
+        """Handles a renewal, requested at steady time asked, that was granted for span. answered, desk: wall-
+        clock times, unused here.
+        """
         self.fence.at(steady())
         self.fence.granted(asked, span)
 
     def left(self) -> int:
-        """Of its lease, for who paces those that come back."""
+        """Returns the rest of its lease, for the pacing of reconnects."""
         return self.lease_left()
 
     def place(self, number: int) -> tuple[int, int]:
-        """(applied by all that are live, applied by all) of what this relay has itself."""
+        """Returns (number applied by all live followers, number applied by all followers), at most number."""
         live, every = self.followers.least(steady())
         return min(number, number if live is None else live), min(number, number if every is None else every)
 
-    # ---- below
+    # ---- followers
 
     def lease_left(self) -> int:
-        """Of its lease: those of its followers end with it."""
+        """Returns the rest of its lease: its followers' leases end with it."""
         self.fence.at(steady())
         return self.fence.left()
 
@@ -148,20 +153,20 @@
         self.feed.renew_soon()
 
     def is_stored(self, name: str, generation: int) -> bool:
-        """Whether the file has that name; if not, it does soon."""
+        """Returns whether the file holds that name; if not, schedules its write."""
         if name in self.stored_names:
             return True
         self.new_names.add(name)
         if len(self.new_names) == 1:
-            self.reactor.callLater(WRITE_DELAY, self._write_names)  # those that come together make one file
+            self.reactor.callLater(WRITE_DELAY, self._write_names)  # one write for names that arrive together
         return False
 
     def follower_left(self, name: str) -> None:
-        """It is not in the next file."""
+        """Leaves the name out of the next write."""
         self.stored_names.discard(name)
 
     def tick(self) -> None:
-        """Strikes those off that have had no lease for long, and looks at its own lease."""
+        """Removes followers that have long had no lease, and updates its own lease."""
         removed = [name for name in self.followers.struck_off() if name not in self.followers.rows]
         self.stored_names.difference_update(removed)
         if self.new_names or removed:
@@ -180,5 +185,5 @@
         self.stored_names, self.new_names = names, set()
 
     def facts(self) -> dict[str, Any]:
-        """What /v1/status answers at a relay."""
+        """Returns the body of /v1/status at a relay."""
         return {**super().facts(), "role": "relay", "lease": self.fence.state}
--- a/hookrouter/desk/sealing.py
+++ b/hookrouter/desk/sealing.py
@@ -1,4 +1,4 @@
-"""Has old purges sealed in a store, step by step, for as long as its desk or keeper runs."""
+"""Seals old purges of a store in steps, as long as its desk or keeper runs."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 
 from ..log import Log
 
-SEAL_INTERVAL = 5.0  # seconds between looks whether old purges can be sealed
-NEXT_STEP_DELAY = 0.05  # seconds until the next step where more of them wait
+SEAL_INTERVAL = 5.0  # seconds between checks for old purges to seal
+NEXT_STEP_DELAY = 0.05  # seconds until the next step if more are waiting
 
 
 class SealingLoop:
-    """Calls one step after the other, none before the last has ended."""
+    """Runs one sealing step after the other, never two at a time."""
 
     def __init__(
         self, reactor: IReactorTime, step: Callable[[], Deferred[bool]], log: Log, failure_event: str
     ) -> None:
-        """step(): a step of sealing, which says whether more purges wait; failed: logged where it fails."""
+        """step(): seals a batch; its result: whether more are waiting. failure_event: logged if it fails."""
         self._reactor, self._step, self._log, self._failure_event = reactor, step, log, failure_event
         self._call, self._stopped = None, False
 
     def start(self) -> None:
-        """The first step is due a while from now."""
+        """Schedules the first step."""
         self._schedule(SEAL_INTERVAL)
 
     def stop(self) -> None:
-        """No further step is begun; one that is under way ends by itself."""
+        """Starts no further step; a running one completes."""
         self._stopped = True
         if self._call is not None and self._call.active():
             self._call.cancel()
--- a/hookrouter/desk/store.py
+++ b/hookrouter/desk/store.py
@@ -1,4 +1,4 @@
-"""What a desk needs of what keeps its order: on a disk of its own, or in the fleet's log."""
+"""The interface of a desk's store: a local file, or the fleet's replicated log."""
 
 from typing import NamedTuple, Protocol
 
@@ -11,7 +11,7 @@
 
 
 class RestoredOrder(NamedTuple):
-    """What a store held, for a life of the desk that begins with it."""
+    """What a desk starts from: the order and the submission keys, built from what the store held (loaded)."""
 
     tail: Tail
     keys: Keys
@@ -19,25 +19,25 @@
 
 
 class Store(Protocol):
-    """What keeps a desk's order: LocalStore, or the Kept of fleet/member/purges.py."""
+    """Stores a desk's order: LocalStore, or Kept of fleet/member/purges.py. Deferreds fail with the error."""
 
     def append(self, batch: tuple[tuple[Purge, str], ...]) -> Deferred[None]:
-        """The next purges of the order, each with the key of its submission."""
+        """Appends the next purges of the order, each with the key of its submission."""
 
     def reopen(self, min_epoch: int) -> Deferred[RestoredOrder]:
-        """All of it under a new epoch, not below least."""
+        """Reads everything again under a new epoch of at least min_epoch."""
 
     def truncate(self, up_to: int) -> Deferred[None]:
-        """Forgets all up to that number."""
+        """Removes the purges up to and including that number."""
 
     def seal(self) -> Deferred[bool]:
-        """A step that seals old purges, so that a start need not read them; whether more of them wait."""
+        """Seals one batch of old purges, so that a start need not read them; whether more are waiting."""
 
     def update_followers(self, joined: list[tuple[str, int]], left: list[str]) -> Deferred[None]:
-        """joined: (name, generation) of those to be remembered; left: names of those to be forgotten."""
+        """joined: (name, generation) of followers to be added; left: names of followers to be removed."""
 
     def close(self) -> Deferred[None]:
-        """No more is written."""
+        """Ends writing."""
 
     def release(self) -> None:
-        """After close has fired."""
+        """Releases what close left; called after it has fired."""
--- a/hookrouter/desk/stream.py
+++ b/hookrouter/desk/stream.py
@@ -1,4 +1,4 @@
-"""One follower's connection to a desk or relay: the order from its place on, no faster than it reads."""
+"""A follower's feed connection at a desk or relay, written no faster than the follower reads."""
 
 from __future__ import annotations
 
@@ -13,17 +13,15 @@
 if TYPE_CHECKING:
     from .publisher import Publisher
 
-READ_TIMEOUT = 5.0  # seconds that a follower may leave what was written unread; then it is cut, and resumes
-EVENTS_PER_TURN = 8  # events written to one follower before the others get their turn
-ADMISSION_READ_TIMEOUT = (
-    0.02  # seconds that one who is being admitted may not read, until the next one's turn
-)
+READ_TIMEOUT = 5.0  # seconds that a follower may leave data unread before it is disconnected; it then resumes
+EVENTS_PER_TURN = 8  # events written to one follower before the others are served
+ADMISSION_READ_TIMEOUT = 0.02  # seconds an admitted follower may not read before the next one is admitted
 
 
 class Stream:
     """One follower's connection: a push producer of its request.
 
-    Nothing is kept for it but its place: what it has not read stays in the order.
+    Keeps only the follower's position: purges that it has not read are taken from the order later.
     """
 
     def __init__(
@@ -34,15 +32,13 @@
         snapshot: Snapshot | None,
         on_caught_up: Callable[[], None] | None = None,
     ) -> None:
-        """n: the number of the last purge that it has, or has once snapshot is written; snapshot: None where
-        it goes on from n. given(): called once when it is up to date, or reads too slowly to be waited for.
+        """last_sent: number of the last purge that the follower has, or has once snapshot is written.
+        snapshot: None if it resumes from last_sent. on_caught_up(): called once, when it is up to date or
+        reads too slowly to be waited for.
         """
         self.on_caught_up = on_caught_up
         self.publisher, self.request, self.last_sent = publisher, request, last_sent
-        self.snapshot, self.end_event = (
-            None,
-            None,
-        )  # purges of the snapshot that are not written yet, and its end
+        self.snapshot, self.end_event = None, None  # unwritten purges of a snapshot, and its last event
         self.paused_since, self.pumping, self.closed = None, False, False
         if snapshot is not None:
             newest, epoch, count = publisher.tail.newest, publisher.tail.epoch, len(snapshot.purges)
@@ -51,36 +47,36 @@
             self._write(wire.Event("begin", epoch, slices=snapshot.slices))
         request.registerProducer(self, True)
 
-    # what the transport says
+    # ---- transport callbacks
 
     def pauseProducing(self) -> None:
-        """The connection's buffer is full: nothing more is written until the follower has read."""
+        """Stops writing: the connection's buffer is full."""
         self.paused_since = self.publisher.reactor.seconds()
         if self.on_caught_up is not None:
             self.publisher.reactor.callLater(ADMISSION_READ_TIMEOUT, self._still_paused, self.paused_since)
 
     def resumeProducing(self) -> None:
-        """The buffer has room again."""
+        """Writes again: the buffer has room."""
         self.paused_since = None
         self.pump()
 
     def stopProducing(self) -> None:
-        """The connection is over."""
+        """Handles the end of the connection."""
         self.close()
 
     def close(self) -> None:
-        """Ends it here; the connection is left to its own end."""
+        """Ends the stream; does not close the connection."""
         if not self.closed:
             self.closed = True
             self.publisher.streams.pop(self, None)
 
     def abort(self) -> None:
-        """Ends it and the connection at once; the follower comes again from its place."""
+        """Ends the stream and aborts the connection; the follower reconnects and resumes."""
         if not self.closed:
             self.close()
             self.request.channel.forceAbortClient()
 
-    # what it is given
+    # ---- events
 
     def _write(self, event: wire.Event) -> None:
         self.request.write(self.publisher.encode(event))
@@ -95,7 +91,7 @@
             on_caught_up()
 
     def pump(self) -> None:
-        """Up to so many events now, the rest in the reactor's next turn, until it is up to date or paused."""
+        """Writes up to EVENTS_PER_TURN events now and the rest in later turns, until up to date or paused."""
         self.pumping = False
         for _ in range(EVENTS_PER_TURN):
             if self.closed or self.paused_since is not None:
@@ -123,14 +119,14 @@
         if self.last_sent >= tail.newest.n:
             return None
         if not tail.recent or self.last_sent + 1 < tail.recent[0].n:
-            self.abort()  # too far behind: it comes again, for a snapshot
+            self.abort()  # too far behind: it reconnects and gets a snapshot
             return None
         purges = tail.after(self.last_sent, wire.MOST_IN_EVENT)
         self.last_sent = purges[-1].n
         return wire.Event("purges", tail.epoch, purges=purges)
 
     def heartbeat(self) -> None:
-        """Twice a second: a heartbeat where nothing else is written; who does not read for SLOW is cut."""
+        """Called twice a second: writes a heartbeat if idle; disconnects after READ_TIMEOUT without reads."""
         if self.paused_since is None and not self.pumping:
             self._write(wire.Event("beat", self.publisher.tail.epoch, n=self.publisher.tail.newest.n))
         elif (
--- a/hookrouter/desk/web.py
+++ b/hookrouter/desk/web.py
@@ -1,12 +1,12 @@
-"""The HTTP face of desk and relay: bounded bodies, one secret, JSON in and out, and the feed as an event
-stream.
+"""The HTTP interface of desk and relay: a shared secret, JSON bodies of bounded size, and the event stream.
 
-GET /v1/feed         X-Position: EPOCH.N, X-Epoch: the highest heard of, X-Slices: EPOCH.N up to which
-                     all that is sealed is held -> server-sent events, each a wire.Event
-GET /v1/slices/NAME  a sealed slice that a snapshot has listed, as bytes; 404 where that was long ago
+GET /v1/feed         X-Position: EPOCH.N, X-Epoch: the highest epoch seen, X-Slices: EPOCH.N up to which all
+                     slices are held -> server-sent events, each a wire.Event
+GET /v1/slices/NAME  the bytes of a sealed slice that a snapshot has listed; 404 if it is no longer kept
 POST /v1/renew       wire.Renew -> wire.Granted
-POST /v1/purges      wire.Submit -> numbers; 400 what is wrong, 409 key used otherwise, 503 with Retry-After
-GET /v1/purges/N.N   from when it is in effect, and who is behind; N, or an ending of N.N, will do
+POST /v1/purges      wire.Submit -> numbers; 400 malformed, 409 key used for another submission, 503 with
+                     Retry-After
+GET /v1/purges/N.N   when it takes effect, and which followers are behind; N, or a suffix of N.N, is accepted
 GET /v1/purges       the newest, ?last=N of them, and how many there are
 GET /v1/status       members, positions, counters
 """
@@ -21,17 +21,17 @@
 from ..site import Secret
 from .publisher import FollowRequest, Publisher
 
-IDLE_TIMEOUT = 30.0  # seconds that a connection without a request under way may last
-MAX_LISTED = 1_000  # purges in one list
-UNKNOWN_PURGE = "no purge of that number among the newest that the desk shows; purges list has them"
+IDLE_TIMEOUT = 30.0  # seconds that a connection may stay without a request
+MAX_LISTED = 1_000  # purges in one listing
+UNKNOWN_PURGE = "no purge of that number among the newest that the desk shows; see purges list"
 STATUS_CODES = {"form": 400, "key": 409, "busy": 503}
 
 
 class BoundedRequest(server.Request):
-    """One whose body is neither endless nor large."""
+    """A request whose body has a length of at most MOST_BODY."""
 
     def gotLength(self, length: int | None) -> None:
-        """Cuts the connection where the body would be larger than MOST_BODY, or says no length."""
+        """Aborts the connection if the body has no length or is larger than MOST_BODY."""
         if length is None or length > wire.MOST_BODY:
             self.content = BytesIO()
             self.channel.forceAbortClient()
@@ -40,7 +40,7 @@
 
 
 def json_response(request: server.Request, status: int, body: object, **fields: object) -> bytes:
-    """The body as JSON, for render to give back; sets the status and the header fields (_ stands for -)."""
+    """Returns the body as JSON for render; sets the status and the header fields (_ becomes -)."""
     request.setResponseCode(status)
     request.setHeader(b"Content-Type", b"application/json")
     for name, value in fields.items():
@@ -49,15 +49,15 @@
 
 
 class AuthenticatedResource(resource.Resource):
-    """One path, for those who know the secret."""
+    """A resource for clients that know the shared secret."""
 
     def __init__(self, publisher: Publisher, secret: Secret) -> None:
-        """desk: the Desk or Relay."""
+        """publisher: the Desk or Relay, or the Door of fleet/member/purge_door.py."""
         super().__init__()
         self.publisher, self.secret = publisher, secret
 
     def render(self, request: server.Request) -> bytes | int:
-        """401 without the secret, 400 where what came is malformed, else as the method says."""
+        """Answers 401 without the secret and 400 to malformed requests; otherwise calls the method."""
         authorization = request.getHeader(b"authorization") or b""
         if not hmac.compare_digest(authorization, b"Bearer " + self.secret.value):
             self.publisher.count("requests_unauthorized")
@@ -72,28 +72,28 @@
 
 
 class Feed(AuthenticatedResource):
-    """/v1/feed: the order from a place on."""
+    """/v1/feed: the order from a position on."""
 
     isLeaf = True
 
     def render_GET(self, request: server.Request) -> bytes | int:
-        """An endless stream of events, or an answer that says when to come again."""
+        """Starts an endless stream of events, or answers when to retry."""
         follow_request = read_follow_request(request)
         if not self.publisher.ready():
-            return json_response(
-                request, 503, {"error": "nothing has been heard from above yet"}, Retry_After=1
-            )
+            return json_response(request, 503, {"error": "no message from upstream yet"}, Retry_After=1)
         if self.publisher.admission is not None:
             return self.publisher.admission.add_request(request, follow_request)
         request.setHeader(b"Content-Type", b"text/event-stream")
         request.setHeader(b"Cache-Control", b"no-store")
         if not self.publisher.follow(request, follow_request):
-            return json_response(request, 409, {"error": "come again"}, Retry_After=1)
+            return json_response(
+                request, 409, {"error": "position cannot be served now; retry"}, Retry_After=1
+            )
         return server.NOT_DONE_YET
 
 
 def read_follow_request(request: server.Request) -> FollowRequest:
-    """Who asks for the feed; Malformed where a field is not as it should be."""
+    """Reads the header fields of a feed request; raises wire.Malformed."""
     epoch = (request.getHeader(b"x-epoch") or b"").decode("latin-1")
     sealed_through = request.getHeader(b"x-slices")
     return FollowRequest(
@@ -104,10 +104,10 @@
 
 
 class Slices(AuthenticatedResource):
-    """/v1/slices/DIGEST: sealed purges."""
+    """/v1/slices/: sealed slices by digest."""
 
     def getChild(self, path: bytes, request: server.Request) -> "OneSlice":
-        """The slice of that digest."""
+        """Returns the resource of that digest."""
         return OneSlice(self.publisher, self.secret, path)
 
 
@@ -117,12 +117,12 @@
     isLeaf = True
 
     def __init__(self, publisher: Publisher, secret: Secret, digest: bytes) -> None:
-        """digest: as a snapshot lists it."""
+        """digest: as listed by a snapshot."""
         super().__init__(publisher, secret)
         self.digest = digest
 
     def render_GET(self, request: server.Request) -> bytes:
-        """Its bytes; 404 where it is not listed any more: a new snapshot lists what took its place."""
+        """Returns its bytes; 404 if it is no longer listed: a new snapshot lists its replacement."""
         body = self.publisher.slice(self.digest.decode("latin-1"))
         if body is None:
             return json_response(request, 404, {"error": "no slice of that digest is listed"})
@@ -132,33 +132,33 @@
 
 
 class Renew(AuthenticatedResource):
-    """/v1/renew: the lease of a follower."""
+    """/v1/renew: renews the lease of a follower."""
 
     isLeaf = True
 
     def render_POST(self, request: server.Request) -> bytes:
-        """wire.Granted; 409 to an earlier life of a follower."""
+        """Answers wire.Granted; 409 if the follower is of an earlier generation or one too many."""
         if not self.publisher.ready():
-            return json_response(
-                request, 503, {"error": "nothing has been heard from above yet"}, Retry_After=1
-            )
+            return json_response(request, 503, {"error": "no message from upstream yet"}, Retry_After=1)
         granted = self.publisher.renew(wire.read_renew(request.content.read()))
         if granted is None:
             return json_response(
-                request, 409, {"error": "a later life of this member is known, or there are too many"}
+                request,
+                409,
+                {"error": "a later generation of this member is known, or there are too many members"},
             )
         return json_response(request, 200, granted)
 
 
 class Purges(AuthenticatedResource):
-    """/v1/purges: submissions, and the newest purges. Only where desk is a Desk."""
+    """/v1/purges: submissions, and the newest purges. Only at a Desk."""
 
     def getChild(self, path: bytes, request: server.Request) -> "OnePurge":
-        """/v1/purges/NUMBER."""
+        """Returns the resource of one purge."""
         return OnePurge(self.publisher, self.secret, path)
 
     def render_GET(self, request: server.Request) -> bytes:
-        """The newest, and how many there are."""
+        """Lists the newest purges, with the total count."""
         last = request.args.get(b"last", [str(MAX_LISTED).encode()])[-1].decode("latin-1")
         limit = wire.read_whole(last, f"last={last}")
         if not 1 <= limit <= MAX_LISTED:
@@ -167,7 +167,7 @@
         return json_response(request, 200, {"purges": rows, "of": total})
 
     def render_POST(self, request: server.Request) -> int:
-        """A submission; answered once it is durable, or refused."""
+        """Submits purges; answers once they are durable, or refused."""
         submission = wire.read_submit(request.content.read())
         items = tuple((item.kind, item.what) for item in submission.purges)
         disconnects = []
@@ -179,7 +179,7 @@
 
     def _send_outcome(self, outcome: Accepted | Refused, request: server.Request, disconnects: list) -> None:
         if disconnects:
-            return  # it asks again under the same key
+            return  # the client retries under the same key
         if isinstance(outcome, Refused):
             fields = {"Retry_After": -(-outcome.retry // 10_000)} if outcome.retry else {}
             body = json_response(request, STATUS_CODES[outcome.why], {"error": outcome.reason}, **fields)
@@ -210,12 +210,12 @@
     isLeaf = True
 
     def __init__(self, publisher: Publisher, secret: Secret, number: bytes) -> None:
-        """number: EPOCH.N, an ending of it, or N."""
+        """number: EPOCH.N, a suffix of it, or N."""
         super().__init__(publisher, secret)
         self.number = number
 
     def render_GET(self, request: server.Request) -> bytes:
-        """From when it is in effect, and who is behind; 404 where it is none of the newest."""
+        """Answers when it takes effect and which followers are behind; 404 if not among the newest."""
         epoch, purge_number = wire.read_ending(self.number.decode("latin-1"))
         facts = self.publisher.purge_facts(purge_number)
         if facts is None or not facts["number"].partition(".")[0].endswith(epoch):
@@ -229,12 +229,12 @@
     isLeaf = True
 
     def render_GET(self, request: server.Request) -> bytes:
-        """See facts() of Desk and Relay."""
+        """Answers facts() of the Desk or Relay."""
         return json_response(request, 200, self.publisher.facts())
 
 
 def resource_tree(publisher: Publisher, secret: Secret, accepts_submissions: bool) -> resource.Resource:
-    """submits: whether purges are taken here."""
+    """Builds the resources under /v1. accepts_submissions: whether purges can be submitted here."""
     root, v1 = resource.Resource(), resource.Resource()
     root.putChild(b"v1", v1)
     v1.putChild(b"feed", Feed(publisher, secret))
@@ -247,10 +247,10 @@
 
 
 def bounded_site(root: resource.Resource) -> server.Site:
-    """A factory of bounded requests and idle connections."""
+    """Returns a site with bounded request bodies and an idle timeout."""
     return server.Site(root, requestFactory=BoundedRequest, timeout=IDLE_TIMEOUT)
 
 
 def publisher_site(publisher: Publisher, secret: Secret, accepts_submissions: bool) -> server.Site:
-    """tree(), served."""
+    """Returns a site that serves resource_tree()."""
     return bounded_site(resource_tree(publisher, secret, accepts_submissions))
--- a/hookrouter/stores/__init__.py
+++ b/hookrouter/stores/__init__.py
@@ -1,4 +1,4 @@
-"""What outlives a process: stores that survive a kill at any moment and say so when they are damaged."""
+"""Durable stores: they survive a kill at any moment and detect corruption."""
 
 from .purge_log import DamagedStore, PurgeLog
 from .sqlite import UnusableStore
--- a/hookrouter/stores/keeper_log.py
+++ b/hookrouter/stores/keeper_log.py
@@ -1,9 +1,9 @@
-"""A keeper's store: its vote, its log, a snapshot, and how often it was written. One transaction a batch.
+"""A keeper's store: term and vote, log, snapshot, and a count of its writes. One transaction per batch.
 
-SQLite in WAL mode with synchronous FULL, as the desk's store. Each entry carries a seal over itself and the
-one before; the rest is sealed together. What is not as it was written is not read: the entries before it are,
-with a doubt, and a keeper in doubt neither votes nor counts. A file that was put back from an older copy
-cannot tell so of itself: the other keepers know how often it had been written.
+SQLite in WAL mode with synchronous FULL, as the desk's store. Each log entry carries a hash over itself and
+the hash before it (column seal); each fact carries a hash of its own. The entries before a corrupted one are
+read, together with an integrity error; a keeper with an integrity error neither votes nor counts towards a
+quorum. A file restored from an older copy cannot be detected locally: the other keepers know its write count.
 """
 
 import sqlite3
@@ -15,7 +15,7 @@
 from ..tables.hash_chain import chained_hash
 from .sqlite import LOCK_TIMEOUT, create_schema, open_error, prepare, transaction
 
-APPLICATION_ID = 0x686B6B70  # the file's application id: "hkkp"
+APPLICATION_ID = 0x686B6B70  # SQLite application id: "hkkp"
 VERSION = 1
 
 SCHEMA = """
@@ -25,6 +25,8 @@
 
 
 class Meta(msgspec.Struct, array_like=True):
+    """The fields of protocol.Stored but snapshot and entries, as they are stored."""
+
     term: int = 0
     voted_for: str | None = None
     write_count: int = 0
@@ -36,6 +38,8 @@
 
 
 class Snapshot(msgspec.Struct, array_like=True):
+    """The state of the log up to an index, as it is stored."""
+
     index: int
     term: int
     voters: list[str]
@@ -44,10 +48,10 @@
 
 
 class KeeperLog:
-    """Calls block; sqlite3.Error: nothing of that batch can be believed, load() says what is there."""
+    """A keeper's open store. Calls block; after sqlite3.Error, only load() tells what is on disk."""
 
     def __init__(self, path, name):
-        """name: of the keeper; a store is one keeper's for good."""
+        """name: of the keeper; a store belongs to one keeper. Raises UnusableStore."""
         self.path = path
         try:
             self.connection = sqlite3.connect(
@@ -60,7 +64,7 @@
     def _open(self, name):
         execute = self.connection.execute
         is_new = prepare(self.connection, self.path, APPLICATION_ID, "this is no keeper's store")
-        execute("BEGIN EXCLUSIVE")  # held by this process from here on
+        execute("BEGIN EXCLUSIVE")  # locks the file for this process
         if is_new:
             create_schema(self.connection, SCHEMA, APPLICATION_ID)
             self._put("keeper", f"{VERSION} {name}".encode())
@@ -81,12 +85,12 @@
         )
 
     def _fact(self, name):
-        """None where it is missing or not as it was written."""
+        """Returns the value, or None if it is missing or corrupted."""
         row = self.connection.execute("SELECT value, seal FROM facts WHERE name = ?", (name,)).fetchone()
         return row[0] if row is not None and chained_hash(name.encode(), row[0]) == row[1] else None
 
     def load(self):
-        """What is there, as protocol.Stored; integrity_error where something is not as it was written."""
+        """Returns the contents as protocol.Stored; integrity_error says what is corrupted, if anything."""
         try:
             meta = msgspec.msgpack.decode(self._fact("meta"), type=Meta)
         except (msgspec.MsgspecError, TypeError, sqlite3.DatabaseError):
@@ -128,7 +132,7 @@
         )
 
     def _entries(self, base):
-        """(entries, what is wrong with the first that cannot be read)."""
+        """Returns (entries, what is wrong with the first that cannot be read, or None)."""
         entries, previous_hash = [], b""
         try:
             previous_hash = self._fact("base seal") or b""
@@ -144,7 +148,7 @@
         return entries, None
 
     def write(self, record):
-        """p: protocol.Persist. On disk when it returns."""
+        """Writes a protocol.Persist as one transaction, which is on disk on return."""
         with transaction(self.connection) as execute:
             execute("DELETE FROM entries WHERE n > ?", (record.truncate_after,))
             row = execute("SELECT seal FROM entries WHERE n = ?", (record.truncate_after,)).fetchone()
@@ -174,6 +178,6 @@
             self._put("meta", msgspec.msgpack.encode(meta))
 
     def probe(self):
-        """Writes what is there once more: sqlite3.Error where there is still no room."""
+        """Rewrites existing data to test the disk: raises sqlite3.Error while there is no room."""
         with transaction(self.connection) as execute:
             execute("UPDATE facts SET value = value WHERE name = 'meta'")
--- a/hookrouter/stores/purge_log.py
+++ b/hookrouter/stores/purge_log.py
@@ -1,9 +1,9 @@
-"""The desk's store: purges in order, each sealed over all before it; epochs; the names of followers.
+"""The desk's store: purges in order, each with a chained hash; the epoch; the names of followers.
 
-SQLite in WAL mode with synchronous FULL: a transaction that has returned is on disk, one that was cut off is
-not there at all (sqlite.org/wal.html). SQLite does not check its pages, so each row carries a seal over
-itself and the seal before it: a flipped, torn, missing or swapped row is found, and named. One process at a
-time holds a store. Calls block; the desk makes them from a thread of their own.
+SQLite in WAL mode with synchronous FULL: a committed transaction is on disk, an interrupted one leaves
+nothing (sqlite.org/wal.html). SQLite does not checksum its pages, so each row carries a hash over itself and
+the hash of the row before (column seal): a flipped, torn, missing or swapped row is detected and reported by
+number. One process at a time opens a store. Calls block; the desk makes them from a separate thread.
 """
 
 import sqlite3
@@ -14,15 +14,15 @@
 from ..purges.types import MOST_SEALED, Purge
 from ..tables.hash_chain import INITIAL_HASH
 from . import purge_slices
-from .purge_rows import seal
+from .purge_rows import purge_hash
 from .purge_steps import INSERT, CopySteps
 from .sqlite import LOCK_TIMEOUT, create_schema, open_error, prepare, read_fact, transaction
 
-APPLICATION_ID = 0x686B7072  # the file's application id: "hkpr"
+APPLICATION_ID = 0x686B7072  # SQLite application id: "hkpr"
 VERSION = 2
-FORMER_VERSION = 1  # without a sealed part: it is added when the file is opened
-ROWS_PER_FETCH = 10_000  # read at once
-DEFAULT_HOLD = 864_000_000  # 24 h in tenths of a millisecond, where whoever reads does not say
+FORMER_VERSION = 1  # has no sealed part, which is added when the file is opened
+ROWS_PER_FETCH = 10_000  # rows read at a time
+DEFAULT_HOLD = 864_000_000  # 24 h in tenths of a millisecond; for readers without a configured hold
 
 SCHEMA = """
 CREATE TABLE facts (name TEXT PRIMARY KEY, value) WITHOUT ROWID;
@@ -33,17 +33,20 @@
 
 
 class LoadedPurges(NamedTuple):
-    """What a desk starts from."""
+    """What a store holds when it is opened."""
 
-    epoch: int  # the last life's
-    floor: int  # all up to this number is folded away
-    rows: list  # of (Purge, key), in order, behind what is sealed
-    followers: list  # of (name, generation)
-    sealed: purge_slices.SealedPart  # of the purges up to the first row
+    epoch: int  # of the previous incarnation
+    floor: int  # number of the last purge removed from the start
+    rows: list  # (Purge, key) in order, after the sealed part
+    followers: list  # (name, generation)
+    sealed: purge_slices.SealedPart  # the purges before the first row
 
 
 class PurgeLog(CopySteps):
+    """An open store of purges. Writes are one transaction each, which is on disk on return."""
+
     def __init__(self, path, must_exist=False):
+        """Opens and locks the file, or creates it. Raises UnusableStore."""
         self.path = path
         try:
             self.connection = sqlite3.connect(
@@ -57,7 +60,7 @@
             self._open()
         except sqlite3.DatabaseError as error:
             raise open_error(path, error, "a desk") from None
-        self.last_seal = None  # seal of the newest row
+        self.last_hash = None  # hash of the newest row; set by load()
 
     def _open(self):
         execute = self.connection.execute
@@ -74,7 +77,7 @@
             self.sealed_tables.create()
             execute("COMMIT")
         else:
-            execute("BEGIN IMMEDIATE")  # held by this process from here on
+            execute("BEGIN IMMEDIATE")  # locks the file for this process
             execute("COMMIT")
         if self._fact("version") == FORMER_VERSION:
             self._add_sealed_part()
@@ -99,8 +102,8 @@
     # ---- read
 
     def load(self, hold=DEFAULT_HOLD, most_sealed=MOST_SEALED):
-        """The sealed part and the rows behind it, seals checked. DamagedStore names the first row that is not
-        as it was written. hold, most_sealed: as in PurgeTerms.
+        """Reads the sealed part and the rows after it, and verifies the hashes. Raises DamagedStore with the
+        first corrupted row. hold, most_sealed: as in PurgeTerms.
         """
         try:
             sealed = self.sealed_tables.read(hold, most_sealed)
@@ -116,41 +119,41 @@
         )
 
     def _sealed_end(self):
-        """(number behind which rows are not sealed, the seal of that row)."""
+        """Returns (number of the last purge that is sealed or removed, its hash)."""
         floor = self._fact("floor"), self._fact("floor seal")
         return max(floor, self.sealed_tables.sealed_through(), key=lambda place: place[0])
 
-    def _rows(self, number, previous_seal):
-        """The rows behind that number, each checked. before: the seal of that number's."""
+    def _rows(self, number, previous_hash):
+        """Yields the verified rows after that number. previous_hash: of the row of that number."""
         try:
             cursor = self.connection.execute(
                 "SELECT epoch, n, made, sort, what, key, seal FROM purges WHERE n > ? ORDER BY n", (number,)
             )
             while batch := cursor.fetchmany(ROWS_PER_FETCH):
-                for epoch, row_number, timestamp, kind, what, key, stored_seal in batch:
+                for epoch, row_number, timestamp, kind, what, key, stored_hash in batch:
                     number += 1
                     purge = Purge(epoch, row_number, timestamp, kind, what)
-                    previous_seal = self._checked(previous_seal, purge, key, stored_seal, number)
+                    previous_hash = self._checked(previous_hash, purge, key, stored_hash, number)
                     yield purge, key
         except sqlite3.DatabaseError as error:
             raise DamagedStore(
                 f"{self.path}: purge {number + 1} cannot be read: {error}", number + 1
             ) from None
-        self.last_seal = previous_seal
+        self.last_hash = previous_hash
 
-    def _checked(self, previous_seal, purge, key, stored_seal, number):
+    def _checked(self, previous_hash, purge, key, stored_hash, number):
         if purge.n != number:
             raise DamagedStore(f"{self.path}: purge {number} is missing, {purge.n} follows", number)
         try:
-            is_intact = seal(previous_seal, purge, key) == stored_seal
+            is_intact = purge_hash(previous_hash, purge, key) == stored_hash
         except (struct.error, AttributeError, TypeError):
             is_intact = False
         if not is_intact:
             raise DamagedStore(f"{self.path}: purge {number} is not as it was written", number)
-        return stored_seal
+        return stored_hash
 
     def verify(self):
-        """(purges that are sound, what is wrong, a line each)."""
+        """Verifies the whole file; returns (count of intact purges, list of problems)."""
         sound, problems = 0, []
         try:
             problems += [
@@ -171,33 +174,35 @@
             problems.append(str(error))
         return sound, problems
 
-    # ---- written; each call is one transaction, on disk when it returns
+    # ---- writes: each call is one transaction, on disk on return
 
     def begin_epoch(self, min_epoch):
-        """A new life: an epoch above the last one's and not below least."""
+        """Begins and returns a new epoch, above the last and at least min_epoch."""
         epoch = max(min_epoch, self._fact("epoch") + 1)
         with transaction(self.connection) as execute:
             execute("UPDATE facts SET value = ? WHERE name = 'epoch'", (epoch,))
         return epoch
 
     def append(self, batch):
-        """batch: (Purge, key) in order. sqlite3.Error: what is on disk has to be loaded again."""
-        previous_seal, rows = self.last_seal, []
+        """Appends (Purge, key) in order. After sqlite3.Error, the store has to be loaded again."""
+        previous_hash, rows = self.last_hash, []
         for purge, key in batch:
-            previous_seal = seal(previous_seal, purge, key)
-            rows.append((*purge, key, previous_seal))
+            previous_hash = purge_hash(previous_hash, purge, key)
+            rows.append((*purge, key, previous_hash))
         with transaction(self.connection):
             self.connection.executemany(INSERT, rows)
-        self.last_seal = previous_seal
+        self.last_hash = previous_hash
 
     def truncate(self, up_to):
-        """Folds away all up to this number: its seal goes on standing for them."""
+        """Removes the purges up to and including this number; keeps the last hash, on which the chain
+        continues.
+        """
         with transaction(self.connection):
             self._step_sweep(up_to)
 
     def seal_batch(self, terms, limit):
-        """Adds up to so many of the oldest rows to the sealed part; how many. terms: a purge_slices.Terms."""
-        start, previous_seal = self._sealed_end()
+        """Adds up to limit of the oldest rows to the sealed part; returns the count. terms: SealingTerms."""
+        start, previous_hash = self._sealed_end()
         newest = self.position()[0]
         up_to = min(start + limit, newest - terms.min_unsealed)
         if up_to <= start:
@@ -209,13 +214,13 @@
                 (start, up_to),
             ).fetchall()
             rows = []
-            for number, (*fields, key, stored_seal) in enumerate(stored_rows, start + 1):
-                previous_seal = self._checked(previous_seal, Purge(*fields), key, stored_seal, number)
-                rows.append((Purge(*fields), stored_seal))
+            for number, (*fields, key, stored_hash) in enumerate(stored_rows, start + 1):
+                previous_hash = self._checked(previous_hash, Purge(*fields), key, stored_hash, number)
+                rows.append((Purge(*fields), stored_hash))
             self.sealed_tables.extend(rows, clock, terms)
         return len(rows)
 
     def update_followers(self, joined, left):
-        """joined: (name, generation); left: names."""
+        """joined: (name, generation) of followers to be added; left: names of followers to be removed."""
         with transaction(self.connection):
             self._step_names(joined, left)
--- a/hookrouter/stores/purge_rows.py
+++ b/hookrouter/stores/purge_rows.py
@@ -1,4 +1,4 @@
-"""A purge as the bytes that a store seals, and that keepers send each other."""
+"""The encoding of a purge that stores hash, and that keepers send each other."""
 
 import struct
 
@@ -9,14 +9,14 @@
 
 
 def pack(purge: Purge, key: str) -> bytes:
-    """The purge and the key of its submission."""
+    """Encodes a purge and the key of its submission."""
     kind, what = purge.kind.encode(), purge.what.encode()
     packed = HEADER.pack(purge.epoch, purge.n, purge.timestamp, len(kind), len(what))
     return b"".join((packed, kind, what, key.encode()))
 
 
 def unpack(body: bytes) -> tuple[Purge, str]:
-    """What pack was given; ValueError or struct.error where these bytes are none of it."""
+    """Decodes the result of pack; raises ValueError or struct.error."""
     epoch, number, timestamp, kind_bytes, what_bytes = HEADER.unpack_from(body)
     kind_end = HEADER.size + kind_bytes
     what_end = kind_end + what_bytes
@@ -24,6 +24,6 @@
     return Purge(epoch, number, timestamp, kind, what), body[what_end:].decode()
 
 
-def seal(previous_seal: bytes, purge: Purge, key: str) -> bytes:
-    """Over this purge and, by the seal before, all before it."""
-    return chained_hash(previous_seal, pack(purge, key))
+def purge_hash(previous_hash: bytes, purge: Purge, key: str) -> bytes:
+    """Returns the chained hash of a purge. previous_hash: that of the purge before it."""
+    return chained_hash(previous_hash, pack(purge, key))
--- a/hookrouter/stores/purge_slices.py
+++ b/hookrouter/stores/purge_slices.py
@@ -1,9 +1,9 @@
-"""The sealed part of a store of purges: what a desk starts from without reading a whole hold of rows.
+"""The sealed part of a store of purges: with it a desk starts without reading all rows within the hold.
 
-Rows that are old enough are added to slices by time (purges/retention/archive.py); those of kinds that cannot
-be sealed are copied to a table of their own, the newest of each name. The rows stay until the hold is over,
-for keepers that lack some and for `purges verify`. A step is one transaction: after a kill the sealed part is
-as before it or as after it. One digest over all of it is checked whenever it is read.
+Old rows are added to slices by time (purges/retention/archive.py). Of kinds that cannot be sealed, the newest
+row of each name is copied to the table exact. The rows themselves stay until the hold is over, for keepers
+that lack some and for `purges verify`. A step is one transaction, so a kill leaves the sealed part as before
+or after it. One digest over the whole part is verified whenever it is read.
 """
 
 import json
@@ -29,11 +29,12 @@
 CREATE TABLE exact (kind TEXT NOT NULL, what TEXT NOT NULL, epoch INTEGER NOT NULL, n INTEGER NOT NULL,
                     made INTEGER NOT NULL, PRIMARY KEY (kind, what)) WITHOUT ROWID;
 """
-SEALED, SEALED_SEAL, FIRSTS, SEALED_DIGEST = "sealed", "sealed seal", "firsts", "sealed digest"  # facts
+# Names of facts.
+SEALED, SEALED_HASH, FIRSTS, SEALED_DIGEST = "sealed", "sealed seal", "firsts", "sealed digest"
 
 
 class SealingTerms(NamedTuple):
-    """How rows are sealed. hold, most_sealed: as in PurgeTerms; keep: newest rows that are left out."""
+    """Parameters of sealing. hold, most_sealed: as in PurgeTerms; min_unsealed: newest rows left unsealed."""
 
     hold: int
     most_sealed: int
@@ -41,33 +42,33 @@
 
 
 class SealedPart(NamedTuple):
-    """What the sealed part holds: all rows up to number n."""
+    """The contents of the sealed part: all rows up to and including number `through`."""
 
     through: int
     archive: Archive
     exact: list[Purge]
-    firsts: list[tuple[int, int]]  # (n of its first row, epoch), of epochs that have rows up to n
+    firsts: list[tuple[int, int]]  # (number of its first row, epoch) of each epoch with rows in this part
 
 
 class SealedTables:
-    """Reads and extends the sealed part of one open file."""
+    """Reads and extends the sealed part of an open file."""
 
     def __init__(self, connection: sqlite3.Connection, path: str) -> None:
-        """file: of a store that has the tables."""
+        """connection: of a store with the tables of SCHEMA."""
         self._connection, self._path = connection, path
 
     def create(self) -> None:
-        """Facts of an empty part; within a transaction."""
-        for name, value in ((SEALED, 0), (SEALED_SEAL, INITIAL_HASH), (FIRSTS, "[]")):
+        """Writes the facts of an empty part; within a transaction."""
+        for name, value in ((SEALED, 0), (SEALED_HASH, INITIAL_HASH), (FIRSTS, "[]")):
             self._write_fact(name, value)
         self._write_fact(SEALED_DIGEST, self._digest())
 
     def sealed_through(self) -> tuple[int, bytes]:
-        """(number up to which rows are sealed, the seal of that row)."""
-        return self._fact(SEALED), self._fact(SEALED_SEAL)
+        """Returns (number of the last sealed row, its hash)."""
+        return self._fact(SEALED), self._fact(SEALED_HASH)
 
     def read(self, hold: int, most_sealed: int) -> SealedPart:
-        """All of it; DamagedStore names what was corrupted. hold, most_sealed: as in PurgeTerms."""
+        """Reads the sealed part; raises DamagedStore if corrupted. hold, most_sealed: as in PurgeTerms."""
         through, _ = self.sealed_through()
         if self._digest() != self._fact(SEALED_DIGEST):
             raise DamagedStore(
@@ -86,8 +87,8 @@
         return SealedPart(through, archive, exact, firsts)
 
     def extend(self, rows: list[tuple[Purge, bytes]], newest_timestamp: int, terms: SealingTerms) -> None:
-        """Takes in the next rows, each with its seal, and drops what is older than the hold; within a
-        transaction. newest_timestamp: of the newest row of the store, the clock that the hold is counted by.
+        """Adds the next rows, each with its hash, and deletes what is older than the hold; within a
+        transaction. newest_timestamp: of the newest row of the store, from which the hold is counted back.
         """
         archive = Archive(terms.hold, terms.most_sealed)
         firsts = json.loads(self._fact(FIRSTS))
@@ -104,14 +105,14 @@
         self._delete_older(newest_timestamp - terms.hold)
         if rows:
             self._write_fact(SEALED, rows[-1][0].n)
-            self._write_fact(SEALED_SEAL, rows[-1][1])
+            self._write_fact(SEALED_HASH, rows[-1][1])
         self._write_fact(FIRSTS, json.dumps(firsts[-MOST_FIRSTS:]))
         self._write_fact(SEALED_DIGEST, self._digest())
 
     # ---- the tables
 
     def _load_slice(self, archive: Archive, key: SliceKey) -> None:
-        """The slice as it is stored, where it is not in the archive yet."""
+        """Loads a stored slice into the archive unless it is there already."""
         if key in archive.slices:
             return
         row = self._connection.execute(
@@ -144,9 +145,9 @@
         self._connection.execute("DELETE FROM exact WHERE made < ?", (timestamp,))
 
     def _digest(self) -> bytes:
-        """Over all of the part; slices count by the digests of their bodies, which are checked by these."""
+        """Returns the digest of the whole part; slices enter by the digests of their bodies."""
         digest = blake2b(digest_size=DIGEST_BYTES)
-        digest.update(repr([self._fact(name) for name in (SEALED, SEALED_SEAL, FIRSTS)]).encode())
+        digest.update(repr([self._fact(name) for name in (SEALED, SEALED_HASH, FIRSTS)]).encode())
         for rows in self._tables():
             digest.update(repr(list(rows)).encode())
         return digest.digest()
--- a/hookrouter/stores/purge_steps.py
+++ b/hookrouter/stores/purge_steps.py
@@ -1,5 +1,4 @@
-"""A store of purges as one of several copies: the steps that replicas/record_copy.py decides, parts for
-others."""
+"""A store of purges as a replica: applies the steps of replicas/record_copy.py, reads records for peers."""
 
 import sqlite3
 
@@ -13,12 +12,14 @@
 
 
 class CopySteps:
-    """Of PurgeLog, which sets file and reads facts."""
+    """Replication methods of PurgeLog, which sets connection and reads facts."""
 
     connection: sqlite3.Connection
 
     def position(self):
-        """(number of the newest purge, its seal, the floor, the entry of the log up to which all is here)."""
+        """Returns (number of the newest purge, its hash, floor, log index up to which all records are
+        stored).
+        """
         floor, index = (
             self._fact("floor"),
             self.connection.execute("SELECT value FROM facts WHERE name = 'index'"),
@@ -27,7 +28,7 @@
         return (*(row or (floor, self._fact("floor seal"))), floor, (index.fetchone() or (0,))[0])
 
     def apply_steps(self, steps, index):
-        """Steps of replicas.record_copy in one transaction. CopyDiffers: nothing of it was done."""
+        """Applies steps of replicas.record_copy as one transaction; CopyDiffers rolls it back."""
         with transaction(self.connection) as execute:
             for command, *fields in steps:
                 STEPS[command](self, *fields)
@@ -35,16 +36,16 @@
                 execute("INSERT OR REPLACE INTO facts VALUES ('index', ?)", (index,))
 
     def _step_keep(self, first, bodies):
-        newest, previous_seal, _, _ = self.position()
+        newest, previous_hash, _, _ = self.position()
         if first != newest + 1:
-            raise CopyDiffers(f"{first} came after {newest}")
+            raise CopyDiffers(f"records from {first} on do not follow {newest}")
         rows = []
         for number, body in enumerate(bodies, first):
             purge, key = unpack(body)
             if purge.n != number:
-                raise CopyDiffers(f"{purge.n} came as {number}")
-            previous_seal = chained_hash(previous_seal, body)
-            rows.append((*purge, key, previous_seal))
+                raise CopyDiffers(f"purge {purge.n} where {number} was expected")
+            previous_hash = chained_hash(previous_hash, body)
+            rows.append((*purge, key, previous_hash))
         self.connection.executemany(INSERT, rows)
 
     def _step_open(self, epoch):
@@ -59,18 +60,18 @@
         if row is not None:
             self._set_floor(up_to, row[0])
 
-    def _set_floor(self, number, seal):
+    def _set_floor(self, number, chain_hash):
         execute = self.connection.execute
         execute("UPDATE facts SET value = ? WHERE name = 'floor'", (number,))
-        execute("UPDATE facts SET value = ? WHERE name = 'floor seal'", (seal,))
+        execute("UPDATE facts SET value = ? WHERE name = 'floor seal'", (chain_hash,))
         execute("DELETE FROM purges WHERE n <= ?", (number,))
 
-    def _step_verify(self, number, seal):
-        if self._seal_at(number) not in (None, seal):
-            raise CopyDiffers(f"its seal at {number} is another")
+    def _step_verify(self, number, chain_hash):
+        if self._hash_at(number) not in (None, chain_hash):
+            raise CopyDiffers(f"chain hash at {number} differs")
 
-    def _seal_at(self, number):
-        """None where it is folded away, or not there."""
+    def _hash_at(self, number):
+        """Returns the hash of that purge, or None if it is removed or not stored."""
         if number == self._fact("floor"):
             return self._fact("floor seal")
         row = self.connection.execute("SELECT seal FROM purges WHERE n = ?", (number,)).fetchone()
@@ -82,18 +83,20 @@
                 "SELECT epoch, n, made, sort, what, key FROM purges WHERE n = ?", (number,)
             ).fetchone()
             if row is not None and pack(Purge(*row[:5]), row[5]) != body:
-                raise CopyDiffers(f"purge {number} is another")
+                raise CopyDiffers(f"purge {number} differs")
 
-    def read_part(self, after, seal, max_bytes):
-        """(start, its seal, bodies behind it, whether that seal is this store's, too): most bytes of them."""
+    def read_part(self, after, chain_hash, max_bytes):
+        """Returns (start, its hash, bodies after it, whether the given hash matches): about max_bytes of
+        bodies.
+        """
         newest, _, floor, _ = self.position()
-        own_seal = self._seal_at(after)
-        if after > newest:  # it has less than who asks
-            return after, seal, [], True
+        own_hash = self._hash_at(after)
+        if after > newest:  # the requester has more than this store
+            return after, chain_hash, [], True
         if after < floor:
-            start, start_seal, agrees = floor, self._fact("floor seal"), True
+            start, start_hash, agrees = floor, self._fact("floor seal"), True
         else:
-            start, start_seal, agrees = after, own_seal, own_seal == seal
+            start, start_hash, agrees = after, own_hash, own_hash == chain_hash
         bodies, size = [], 0
         rows = self.connection.execute(
             "SELECT epoch, n, made, sort, what, key FROM purges WHERE n > ? ORDER BY n", (start,)
@@ -104,13 +107,14 @@
             if size > max_bytes:
                 break
         rows.close()
-        return start, start_seal, bodies, agrees
+        return start, start_hash, bodies, agrees
 
     def follower_names(self):
+        """Returns (name, generation) of all followers, by name."""
         return self.connection.execute("SELECT name, generation FROM members ORDER BY name").fetchall()
 
     def last_older_than(self, timestamp, limit):
-        """The number of the last of the oldest purges from before that time, so many at most; 0: none."""
+        """Returns the number of the last of up to limit oldest purges before that time; 0 if none."""
         row = self.connection.execute(
             "SELECT max(n) FROM (SELECT n, made FROM purges ORDER BY n LIMIT ?) " "WHERE made < ?",
             (limit, timestamp),
@@ -118,7 +122,7 @@
         return row[0] or 0
 
 
-# of hookrouter/decisions/replicas/record_copy.py -> what is done; within one transaction
+# Commands of hookrouter/decisions/replicas/record_copy.py; applied within one transaction.
 STEPS = {
     "keep": CopySteps._step_keep,
     "open": CopySteps._step_open,
--- a/hookrouter/stores/sqlite.py
+++ b/hookrouter/stores/sqlite.py
@@ -1,4 +1,4 @@
-"""What the stores on SQLite share: WAL with synchronous FULL, one process at a time, whole transactions."""
+"""Common parts of the SQLite stores: WAL with synchronous FULL, exclusive locking, transactions."""
 
 import os
 import sqlite3
@@ -6,11 +6,14 @@
 
 from ..errors.stores import DamagedStore, ForeignStore, LockedStore, UnusableStore
 
-LOCK_TIMEOUT = 0.2  # seconds for another process to let go: one that ends closes its store at once
+LOCK_TIMEOUT = 0.2  # seconds to wait for the lock: a process that ends closes its store at once
 
 
 def prepare(connection, path, application_id, foreign_message):
-    """Whether nothing is in it yet. mark: the application id; other: said of a file that has another."""
+    """Sets locking and WAL mode; returns whether the file is empty.
+
+    Raises ForeignStore with foreign_message if the file has another application id.
+    """
     execute = connection.execute
     execute("PRAGMA locking_mode = EXCLUSIVE")
     existing_id = execute("PRAGMA application_id").fetchone()[0]
@@ -23,7 +26,7 @@
 
 
 def open_error(path, error, service):
-    """What to raise for SQLite's error at opening. who: a keeper, a desk."""
+    """Returns the exception to raise for an SQLite error on opening. service: "a keeper" or "a desk"."""
     if os.path.isdir(path):
         return UnusableStore(f"{path}: it is a folder (unable to open database file)")
     if isinstance(error, sqlite3.OperationalError):
@@ -34,13 +37,14 @@
 
 
 def create_schema(connection, schema, application_id):
+    """Creates the tables and sets the application id."""
     for statement in schema.split(";")[:-1]:
         connection.execute(statement)
     connection.execute(f"PRAGMA application_id = {application_id}")
 
 
 def read_fact(connection, path, name):
-    """The value that a store of purges keeps under that name; DamagedStore where it has none."""
+    """Returns a value from the facts table of a store of purges; raises DamagedStore if missing."""
     row = connection.execute("SELECT value FROM facts WHERE name = ?", (name,)).fetchone()
     if row is None:
         raise DamagedStore(f"{path}: its {name} is missing")
@@ -49,7 +53,7 @@
 
 @contextmanager
 def transaction(connection):
-    """All of it is on disk when it ends, or none of it."""
+    """Runs the block as one transaction: on disk at its end, rolled back on an exception."""
     connection.execute("BEGIN IMMEDIATE")
     try:
         yield connection.execute
--- a/hookrouter/stores/trace_log.py
+++ b/hookrouter/stores/trace_log.py
@@ -1,7 +1,7 @@
-"""The trace on disk: segments of compressed blocks, the oldest removed; a crash costs the end of one at most.
+"""The trace on disk: segments of compressed blocks, the oldest deleted; a crash loses the end of one at most.
 
-A segment is NAME.NUMBER.trace, zstd frames one behind the other (RFC 8878), each with its checksum; any zstd
-reads it. The first line of a segment is the header of whoever wrote it.
+A segment is NAME.NUMBER.trace, a series of zstd frames with checksums (RFC 8878) that any zstd can read. The
+first line of a segment is the header of its writer.
 """
 
 import os
@@ -12,17 +12,19 @@
 
 from ..errors.stores import TruncatedTrace
 
-MAX_SEGMENTS = 8  # kept of one router: removing one loses an eighth
-READ_SIZE = 1 << 16  # bytes read at once
-MAX_LINE = 1 << 21  # bytes: what has no line's end by then is no trace
+MAX_SEGMENTS = 8  # kept per router: deleting one loses an eighth
+READ_SIZE = 1 << 16  # bytes read at a time
+MAX_LINE = 1 << 21  # bytes; a longer line means that the file is not a trace
 
 
 class TraceLog:
-    """most: bytes on disk of this name, those of former lives among them. Calls write to the page cache; none
-    waits for the disk. OSError: it could not be written.
+    """Writes the trace of one router.
+
+    Calls write to the page cache and do not wait for the disk. They raise OSError if the write fails.
     """
 
     def __init__(self, folder, name, max_bytes, header):
+        """max_bytes: on disk under this name, including segments of earlier processes."""
         self.folder, self.name, self.header = folder, name, header
         self.segment_size = max(1, max_bytes // MAX_SEGMENTS)
         self.compressor = zstandard.ZstdCompressor(level=1, write_checksum=True)
@@ -30,6 +32,7 @@
         self.last_number = max((number for number, _ in list_segments(folder, name)), default=0)
 
     def write(self, block):
+        """Appends a block of lines as one frame; begins a new segment when the current one is full."""
         if self.file is None or self.size >= self.segment_size:
             self._next()
         self.size += self.file.write(self.compressor.compress(block))
@@ -46,12 +49,12 @@
     def close(self):
         if self.file is not None:
             file, self.file = self.file, None
-            with suppress(OSError):  # what a full disk refused is tried again, and is lost either way
+            with suppress(OSError):  # close retries the write that a full disk refused; it is lost either way
                 file.close()
 
 
 def list_segments(folder, name=None):
-    """[(number, path)] of that name in their order; of all names, by name and number, without one."""
+    """Returns [(number, path)] of that name in order; without a name, of all names by name and number."""
     found = []
     for entry in os.listdir(folder):
         parts = re.fullmatch(r"(.+)\.(\d{8})\.trace", entry)
@@ -61,7 +64,7 @@
 
 
 def read_lines(path):
-    """Each whole line of a segment; TruncatedTrace where it is torn or damaged, with what is wrong."""
+    """Yields the complete lines of a segment; raises TruncatedTrace where it is truncated or corrupted."""
     rest = b""
     with open(path, "rb") as file:
         reader = zstandard.ZstdDecompressor().stream_reader(file, read_across_frames=True)
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -101,7 +101,7 @@
     log.apply_steps((("verify", 5, seal), ("compare", 2, bodies[1:]), ("sweep", 2)), 11)
     assert log.position() == (5, seal, 2, 11)
     assert log.read_part(1, b"", 1_000)[:1] == (2,) and log.read_part(1, b"", 1_000)[3]
-    start, start_seal, rest, agrees = log.read_part(3, log._seal_at(3), 1)
+    start, start_seal, rest, agrees = log.read_part(3, log._hash_at(3), 1)
     assert (start, rest, agrees) == (3, [bodies[3]], True)
     assert not log.read_part(3, b"0" * 16, 1)[3] and log.read_part(9, b"", 1) == (9, b"", [], True)
     log.close()
