--- a/tests/test_admission_network.py
+++ b/tests/test_admission_network.py
@@ -1,4 +1,4 @@
-"""Admission on the network: a follower in memory, and desk, relay and routers as processes in a storm."""
+"""Admission over the network: a follower in memory, and a reconnect storm of processes."""
 
 import json
 import time
@@ -13,30 +13,30 @@
 from standins.storm import Storm
 
 
-def test_a_follower_that_is_told_comes_back_then_with_its_ticket(tmp_path):
-    s = Following(tmp_path)
-    s.desk.left = lambda: 1_234
-    s.feed.pace()
-    s.feed.went_down(s.feed.stream, "closed")  # told nothing: by jitter
-    assert 0.02 <= s.net.seconds() + s.feed.pause <= 0.4 and isinstance(s.feed.pacing, Pacing)
-    s.net.pump([0.05] * 10)
-    way = next(way for way in reversed(s.net.ways) if not way.over and hasattr(way.factory, "stream"))
+def test_a_deferred_follower_reconnects_at_the_stated_time_with_its_ticket(tmp_path):
+    scene = Following(tmp_path)
+    scene.desk.left = lambda: 1_234
+    scene.feed.pace()
+    scene.feed.went_down(scene.feed.stream, "closed")  # without an answer: random delay
+    assert 0.02 <= scene.net.seconds() + scene.feed.pause <= 0.4 and isinstance(scene.feed.pacing, Pacing)
+    scene.net.pump([0.05] * 10)
+    way = next(way for way in reversed(scene.net.ways) if not way.over and hasattr(way.factory, "stream"))
     line = way.up()
     assert b"X-Lease: 1234" in line.take()
     line.come(answer(503, b"{}", b"X-Wait: 30000", b"X-Ticket: abcd", b"X-Fleet: 2000"))
-    s.net.advance(0)
-    before = len(s.net.ways)
-    s.net.pump([0.1] * 29)
-    assert not [way for way in s.net.ways[before:] if hasattr(way.factory, "stream")]
-    s.net.pump([0.1] * 2)
-    line = s.stream()
-    assert b"X-Ticket: abcd" in line.asked and s.feed.pacing.comer.cap() == 16_000
-    s.send(line, event("purges", 5, purges=purges(1)))
-    assert s.desk.applied == [1] and s.feed.pacing.comer.ticket == ""
+    scene.net.advance(0)
+    before = len(scene.net.ways)
+    scene.net.pump([0.1] * 29)
+    assert not [way for way in scene.net.ways[before:] if hasattr(way.factory, "stream")]
+    scene.net.pump([0.1] * 2)
+    line = scene.stream()
+    assert b"X-Ticket: abcd" in line.asked and scene.feed.pacing.comer.cap() == 16_000
+    scene.send(line, event("purges", 5, purges=purges(1)))
+    assert scene.desk.applied == [1] and scene.feed.pacing.comer.ticket == ""
 
 
-def test_a_desk_killed_twice_within_one_storm_of_processes(tmp_path):
-    """Routers and followers come back each time; no purge that was acknowledged is lost or answered against."""
+def test_a_desk_killed_twice_during_one_reconnect_storm(tmp_path):
+    """Routers and followers reconnect each time; no acknowledged purge is lost or violated by an answer."""
     assert site(tmp_path)["purges"]
     with Standing(Cache) as cache, Storm(tmp_path) as storm:
         desk = storm.desk()
@@ -61,7 +61,7 @@
         storm.all_up(history, 60, 60)
         storm.purge_on(0.2)
         time.sleep(1)
-        for pause in (0.25, 0.0):  # the second time in the middle of the storm
+        for pause in (0.25, 0.0):  # the second kill is in the middle of the storm
             storm.kill(desk)
             began = time.time() * 1_000
             desk = storm.desk()
@@ -69,7 +69,7 @@
             if pause:
                 storm.link.reset()
         storm.all_up(history, 60, 60, began)
-        for _ in range(200):  # the routers too, those behind the relay by it
+        for _ in range(200):  # routers too, directly or through the relay
             rows = {row["name"]: row for row in storm.status()["members"]}
             if sum(row["state"] == "live" for row in rows.values()) >= 64:
                 break
@@ -77,12 +77,12 @@
         assert {"depot", "n0", "n1", "n2", "f000"} <= set(rows)
         storm.over()
         known = {number for number in storm.acknowledged[-200:]}
-        for number in known:  # none lost, each stated
+        for number in known:  # none lost, each reported
             status, facts = storm.call("GET", f"/v1/purges/{number}")
             assert status == 200 and facts["number"] == number
         time.sleep(0.5)
         assert storm.late(history) == []
-        with open(history, "a", encoding="utf-8") as file:  # and one that is seeded is found
+        with open(history, "a", encoding="utf-8") as file:  # the check finds a seeded violation
             now = int(time.time() * 1_000)
             file.writelines(
                 json.dumps([at, "f999", may, 0, True]) + "\n"
--- a/tests/test_purge_catch_up.py
+++ b/tests/test_purge_catch_up.py
@@ -1,4 +1,4 @@
-"""Followers that catch up by sealed slices on the network: in memory, and as processes under kills and cuts."""
+"""Followers that catch up by sealed slices over the network: in memory, and as processes under faults."""
 
 import http.client
 import json
@@ -49,12 +49,12 @@
         return line
 
     def pass_time(self, seconds):
-        """In steps, so that what is due after something else is due in time."""
+        """Advances in steps, so that calls scheduled by other calls run in time."""
         for _ in range(round(seconds * 100)):
             self.net.advance(0.01)
 
     def request(self, target):
-        """The newest connection that asks for that path, and what it asked."""
+        """The newest connection that requests that path, and its request."""
         self.pass_time(0.01)
         for way in reversed(self.net.ways):
             if hasattr(way.factory, "connection"):
@@ -64,7 +64,7 @@
         return None, b""
 
     def renewed(self):
-        """The least that the newest renewal says is applied; all are answered."""
+        """The lowest applied number that the newest renewal reports; all renewals are answered."""
         least = None
         for _ in range(12):
             self.pass_time(0.1)
@@ -75,115 +75,115 @@
         return least
 
 
-def test_nothing_is_answered_for_before_the_last_slice_is_taken_in(tmp_path):
-    s, first, second = CatchingUp(tmp_path), encoded(7, "a"), encoded(6, "b")
-    assert b"X-Slices: 0.0" in s.snapshot(first.row, second.row).asked
-    line, asked = s.request(b"GET /v1/slices/" + first.row.digest.encode())
-    assert b"Bearer 0123456789abcdef" in asked and s.renewed() == -1
+def test_no_position_is_reported_before_the_last_slice_is_applied(tmp_path):
+    scene, first, second = CatchingUp(tmp_path), encoded(7, "a"), encoded(6, "b")
+    assert b"X-Slices: 0.0" in scene.snapshot(first.row, second.row).asked
+    line, asked = scene.request(b"GET /v1/slices/" + first.row.digest.encode())
+    assert b"Bearer 0123456789abcdef" in asked and scene.renewed() == -1
     line.come(answer(200, first.body)[:-1])
-    assert s.adopted == [] and s.renewed() == -1
+    assert scene.adopted == [] and scene.renewed() == -1
     line.come(first.body[-1:])
-    assert [state.key.span for state in s.adopted] == [7] and s.renewed() == -1
-    line, _ = s.request(second.row.digest.encode())
+    assert [state.key.span for state in scene.adopted] == [7] and scene.renewed() == -1
+    line, _ = scene.request(second.row.digest.encode())
     line.come(answer(200, second.body))
-    s.pass_time(0.01)
-    assert [state.key.span for state in s.adopted] == [7, 6] and s.renewed() == 9
-    assert s.counted.count("slices_fetched") == 2
+    scene.pass_time(0.01)
+    assert [state.key.span for state in scene.adopted] == [7, 6] and scene.renewed() == 9
+    assert scene.counted.count("slices_fetched") == 2
 
 
-def test_a_slice_that_is_cut_short_altered_or_anothers_is_refused_counted_and_fetched_again(tmp_path):
-    s, wanted, other = CatchingUp(tmp_path), encoded(7, "a"), encoded(6, "b")
-    s.snapshot(wanted.row)
+def test_a_truncated_or_wrong_slice_is_refused_counted_and_fetched_again(tmp_path):
+    scene, wanted, other = CatchingUp(tmp_path), encoded(7, "a"), encoded(6, "b")
+    scene.snapshot(wanted.row)
     target = wanted.row.digest.encode()
-    line, _ = s.request(target)
+    line, _ = scene.request(target)
     line.come(answer(200, wanted.body)[:-5])
-    line.abortConnection()  # in the middle of it
-    s.pass_time(0.3)
-    line, _ = s.request(target)
+    line.abortConnection()  # in the middle of the body
+    scene.pass_time(0.3)
+    line, _ = scene.request(target)
     line.come(answer(200, other.body))
-    assert s.counted.count("slices_failed") == s.counted.count("slices_refused") == 1
-    assert "wire-slice" in str(s.lines) and s.adopted == []
-    s.pass_time(0.3)
-    line, _ = s.request(target)
+    assert scene.counted.count("slices_failed") == scene.counted.count("slices_refused") == 1
+    assert "wire-slice" in str(scene.lines) and scene.adopted == []
+    scene.pass_time(0.3)
+    line, _ = scene.request(target)
     line.come(answer(200, wanted.body))
-    s.pass_time(0.01)
-    assert [state.key.span for state in s.adopted] == [7] and s.renewed() == 9
+    scene.pass_time(0.01)
+    assert [state.key.span for state in scene.adopted] == [7] and scene.renewed() == 9
 
 
-def test_slices_that_cannot_be_had_are_listed_anew_and_what_was_taken_is_not_asked_for_again(tmp_path):
-    s, first, second = CatchingUp(tmp_path), encoded(7, "a"), encoded(6, "b")
-    stream = s.snapshot(first.row, second.row)
-    line, _ = s.request(first.row.digest.encode())
+def test_missing_slices_are_listed_again_and_applied_ones_are_not_fetched_again(tmp_path):
+    scene, first, second = CatchingUp(tmp_path), encoded(7, "a"), encoded(6, "b")
+    stream = scene.snapshot(first.row, second.row)
+    line, _ = scene.request(first.row.digest.encode())
     line.come(answer(200, first.body))
-    line, _ = s.request(second.row.digest.encode())
+    line, _ = scene.request(second.row.digest.encode())
     line.come(answer(404, b"{}"))
-    assert not stream.open and s.feed.catching_up()
-    s.pass_time(0.1)
+    assert not stream.open and scene.feed.catching_up()
+    scene.pass_time(0.1)
     grown = encoded(6, "b", "c", last=8)
-    again = s.snapshot(grown.row, first.row, newest=11)
+    again = scene.snapshot(grown.row, first.row, newest=11)
     assert b"X-Position: 0.0" in again.asked and b"X-Slices: 0.0" in again.asked
-    assert s.renewed() == -1
-    line, _ = s.request(grown.row.digest.encode())
+    assert scene.renewed() == -1
+    line, _ = scene.request(grown.row.digest.encode())
     line.come(answer(200, grown.body))
-    s.pass_time(0.01)
-    assert s.request(first.row.digest.encode())[0] is None and s.renewed() == 11
-    # Later it says up to where it holds all that is sealed.
+    scene.pass_time(0.01)
+    assert scene.request(first.row.digest.encode())[0] is None and scene.renewed() == 11
+    # Later it states up to where it holds all slices.
     again.abortConnection()
-    s.pass_time(0.1)
-    assert b"X-Slices: 5.11" in s.stream().asked
+    scene.pass_time(0.1)
+    assert b"X-Slices: 5.11" in scene.stream().asked
 
 
-def test_three_refusals_in_a_row_are_enough_and_another_snapshot_is_asked_for(tmp_path):
-    s, wanted = CatchingUp(tmp_path), encoded(7, "a")
-    s.snapshot(wanted.row)
+def test_three_refused_slices_in_a_row_cause_another_snapshot(tmp_path):
+    scene, wanted = CatchingUp(tmp_path), encoded(7, "a")
+    scene.snapshot(wanted.row)
     for _ in range(3):
-        line, _ = s.request(wanted.row.digest.encode())
+        line, _ = scene.request(wanted.row.digest.encode())
         line.come(answer(200, b"x" * wanted.row.size))
-        s.pass_time(0.3)
-    assert s.counted.count("slices_refused") == 3 and s.feed.place.catch_up.list_anew
-    line = s.stream()  # the order goes on without a snapshot: nothing is sealed there
-    s.send(line, event("purges", 5, purges=purges(1, 2)))
-    assert not s.feed.catching_up() and s.renewed() == 2
-    assert s.feed.stop() is None
+        scene.pass_time(0.3)
+    assert scene.counted.count("slices_refused") == 3 and scene.feed.place.catch_up.list_anew
+    line = scene.stream()  # the order continues without a snapshot: nothing is sealed there
+    scene.send(line, event("purges", 5, purges=purges(1, 2)))
+    assert not scene.feed.catching_up() and scene.renewed() == 2
+    assert scene.feed.stop() is None
 
 
 # ---- a desk or relay in memory
 
 
-def filled(count, recent=5):
+def filled_publisher(count, recent=5):
     publisher = Lone(Net(), recent)
-    for n in range(1, count + 1):
-        publisher.tail.add(Purge(5, n, n, types.OBJECT, f"o{n}"))
+    for number in range(1, count + 1):
+        publisher.tail.add(Purge(5, number, number, types.OBJECT, f"o{number}"))
     return publisher
 
 
-def test_a_follower_of_the_former_version_is_turned_away_only_where_something_is_sealed():
-    young, old = filled(4), filled(40)
+def test_a_follower_without_slices_is_refused_only_if_something_is_sealed():
+    young, sealed = filled_publisher(4), filled_publisher(40)
     assert young.follow(Request(), FollowRequest(Position(4, 1), 5, None))
-    assert old.follow(Request(), FollowRequest(START, 5, None)) is False
-    assert old.counters == {"followers_of_a_former_version": 1}
+    assert sealed.follow(Request(), FollowRequest(START, 5, None)) is False
+    assert sealed.counters == {"followers_of_a_former_version": 1}
     request = Request()
-    assert old.follow(request, FollowRequest(START, 5, START))
-    assert b'"slices"' in b"".join(request.written) and old.slice("nothing") is None
+    assert sealed.follow(request, FollowRequest(START, 5, START))
+    assert b'"slices"' in b"".join(request.written) and sealed.slice("nothing") is None
 
 
-def test_who_lacks_the_newest_is_given_no_slice_that_is_older_than_its_place():
-    old = filled(40)
-    assert [row.last for row in old.tail.snapshot(START).slices] == [35]
-    assert old.tail.snapshot(Position(5, 36)).slices == []
-    assert [purge.n for purge in old.tail.snapshot(Position(5, 36)).purges] == [37, 38, 39, 40]
-    assert [row.last for row in old.tail.snapshot(Position(4, 36)).slices] == [35]  # of another life
+def test_a_snapshot_lists_no_slices_older_than_the_followers_position():
+    sealed = filled_publisher(40)
+    assert [row.last for row in sealed.tail.snapshot(START).slices] == [35]
+    assert sealed.tail.snapshot(Position(5, 36)).slices == []
+    assert [purge.n for purge in sealed.tail.snapshot(Position(5, 36)).purges] == [37, 38, 39, 40]
+    assert [row.last for row in sealed.tail.snapshot(Position(4, 36)).slices] == [35]  # of another epoch
 
 
 # ---- processes
 
 
-MANY, AT_ONCE = 23_000, 1_000  # more than a desk keeps one by one
+MANY, AT_ONCE = 23_000, 1_000  # more than a desk keeps by name
 SECRET = {"Authorization": "Bearer 0123456789abcdef"}
 
 
 class Answering(Cache):
-    """New copies; keeps the age that was asked for, in milliseconds, by path."""
+    """A cache that answers with fresh copies and records the requested maximum age in milliseconds by path."""
 
     limits = {}
 
@@ -197,27 +197,30 @@
                 self.request.sendall(answer(200, b"copy", b"X-Since-Ms: %d" % (time.time() * 1_000)))
 
 
-def submitted(run, first, last):
-    """Purges of objects named by their numbers; the numbers that the desk gave."""
-    connection, given = http.client.HTTPConnection("127.0.0.1", run.port, timeout=20), []
+def submit(run, first, last):
+    """Submits purges of objects named by their numbers; returns the numbers that the desk assigned."""
+    connection, numbers = http.client.HTTPConnection("127.0.0.1", run.port, timeout=20), []
     for start in range(first, last, AT_ONCE):
-        rows = [{"sort": "object", "what": f"{n:016x}"} for n in range(start, min(last, start + AT_ONCE))]
+        rows = [
+            {"sort": "object", "what": f"{number:016x}"}
+            for number in range(start, min(last, start + AT_ONCE))
+        ]
         body = json.dumps({"key": f"many-{start}", "purges": rows})
         connection.request("POST", "/v1/purges", body, SECRET)
-        got = connection.getresponse()
-        answered = json.loads(got.read())
-        assert got.status == 200, answered
-        given += [int(row["number"].split(".")[1]) for row in answered["purges"]]
+        response = connection.getresponse()
+        answered = json.loads(response.read())
+        assert response.status == 200, answered
+        numbers += [int(row["number"].split(".")[1]) for row in answered["purges"]]
     connection.close()
-    return given
+    return numbers
 
 
-def limit_ms(connection, n):
-    """The age of copies that the router asks a cache for, for an object of that name."""
+def limit_ms(connection, number):
+    """The maximum age in milliseconds that the router requests from a cache for the object of that name."""
     limit_ms.asked += 1
     part = f"{limit_ms.asked}"
-    ask(connection, message(limit_ms.asked, lookup=f"{n:016x}", part=part), 1)
-    return Answering.limits.get(f"/fetch/clip/{n:016x}/{part}".encode())
+    ask(connection, message(limit_ms.asked, lookup=f"{number:016x}", part=part), 1)
+    return Answering.limits.get(f"/fetch/clip/{number:016x}/{part}".encode())
 
 
 limit_ms.asked = 0
@@ -231,7 +234,7 @@
     return found
 
 
-def waited(what, within=30.0):
+def wait_for(what, within=30.0):
     end = time.monotonic() + within
     while not (found := what()) and time.monotonic() < end:
         time.sleep(0.05)
@@ -239,17 +242,17 @@
 
 
 def live(port, name, newest):
-    """Whether that follower has all up to there, with a lease."""
+    """Whether that follower has applied all up to newest and holds a lease."""
     rows = {row["name"]: row for row in facts(port)["members"]}
     return name in rows and rows[name]["state"] == "live" and rows[name]["n"] >= newest
 
 
-def test_a_router_that_starts_is_bound_by_what_the_desk_has_sealed_through_kills_and_cuts(tmp_path):
+def test_a_starting_router_applies_sealed_purges_despite_kills_and_cuts(tmp_path):
     with Standing(Answering) as cache, Run(tmp_path) as run:
         desk, began = run.desk(), time.time()
-        assert submitted(run, 0, MANY) == list(range(1, MANY + 1))
-        sealed = facts(run.port)
-        assert sealed["sealed"] == MANY - MOST_NAMES and sealed["live"] == MANY
+        assert submit(run, 0, MANY) == list(range(1, MANY + 1))
+        before = facts(run.port)
+        assert before["sealed"] == MANY - MOST_NAMES and before["live"] == MANY
         link = Link(("127.0.0.1", run.port))
         relay_port = free_port()
         relay_site = run.site(
@@ -260,42 +263,42 @@
         relay = run.start("purges", "relay", "--site", relay_site, said="serving purges")
         time.sleep(0.3)
         link.reset()  # in the middle of its snapshot, or of a slice
-        assert waited(lambda: live(run.port, "depot", MANY))
-        assert facts(relay_port)["sealed"] >= sealed["sealed"]
+        assert wait_for(lambda: live(run.port, "depot", MANY))
+        assert facts(relay_port)["sealed"] >= before["sealed"]
 
         fleet = [endpoint("c0", cache.port), endpoint("o0", cache.port, "origin")]
         router, port = router_of(run, fleet, "n1", below)
         time.sleep(0.5)
         router.kill()  # while it catches up
         router, port = router_of(run, fleet, "n1", below)
-        assert waited(lambda: live(relay_port, "n1", MANY))
+        assert wait_for(lambda: live(relay_port, "n1", MANY))
         with socket.create_connection(("127.0.0.1", port), 5) as connection:
             connection.settimeout(10)
-            fresh_ms = 8_000  # of that kind; the router asks for no older copies
-            assert waited(lambda: limit_ms(connection, 1 << 40) == fresh_ms, 6)  # never purged
-            for n in (1, MANY - 1):  # sealed; one by one
-                assert limit_ms(connection, n) < (time.time() - began) * 1_000 + 100
+            fresh_ms = 8_000  # of that kind; the router requests no older copies
+            assert wait_for(lambda: limit_ms(connection, 1 << 40) == fresh_ms, 6)  # never purged
+            for number in (1, MANY - 1):  # one sealed, one kept by name
+                assert limit_ms(connection, number) < (time.time() - began) * 1_000 + 100
 
-        desk.send_signal(signal.SIGKILL)  # while its store seals; nothing that was acknowledged is lost
+        desk.send_signal(signal.SIGKILL)  # while its store seals; no acknowledged purge is lost
         desk.wait()
         desk = run.desk()
         assert facts(run.port)["newest"].split(".")[1] == str(MANY)
-        again = submitted(run, 0, 1_000)  # of before what is kept one by one: a new purge, which is harmless
+        again = submit(run, 0, 1_000)  # older than the keys kept: becomes a new purge, which is harmless
         assert again == list(range(MANY + 1, MANY + 1_001))
-        assert submitted(run, MANY - 1_000, MANY) == list(range(MANY - 999, MANY + 1))  # known
-        assert waited(lambda: live(run.port, "depot", MANY + 1_000))
-        assert waited(lambda: live(relay_port, "n1", MANY + 1_000))
+        assert submit(run, MANY - 1_000, MANY) == list(range(MANY - 999, MANY + 1))  # known keys
+        assert wait_for(lambda: live(run.port, "depot", MANY + 1_000))
+        assert wait_for(lambda: live(relay_port, "n1", MANY + 1_000))
 
-        assert waited(lambda: sealed_upto(tmp_path / "purges.db") >= 1_000, 40)
+        assert wait_for(lambda: sealed_upto(tmp_path / "purges.db") >= 1_000, 40)
         desk.send_signal(signal.SIGTERM)
-        said = desk.communicate(timeout=10)[1]
-        assert desk.returncode == 0 and "Traceback" not in said, said
+        errors = desk.communicate(timeout=10)[1]
+        assert desk.returncode == 0 and "Traceback" not in errors, errors
         assert f"{MANY + 1_000} purges are sound" in run.call("verify")
-        run.desk()  # by its sealed part
+        run.desk()  # restored from its sealed part
         assert facts(run.port)["sealed"] >= 1_000 and facts(run.port)["live"] >= MANY
         router.send_signal(signal.SIGTERM)
-        said = router.communicate(timeout=10)[1]
-        assert "Traceback" not in said and "slices_taken" in said, said
+        errors = router.communicate(timeout=10)[1]
+        assert "Traceback" not in errors and "slices_taken" in errors, errors
         relay.send_signal(signal.SIGTERM)
         assert "Traceback" not in relay.communicate(timeout=10)[1]
         link.close()
--- a/tests/test_purge_processes.py
+++ b/tests/test_purge_processes.py
@@ -1,4 +1,4 @@
-"""Purges on the network: desk, relay and routers as processes on loopback."""
+"""Purges over the network: desk, relay and routers as processes on loopback."""
 
 import http.client
 import json
@@ -18,7 +18,7 @@
 
 
 class Run:
-    """Sub-commands as processes; whatever still runs at the end is killed."""
+    """Runs sub-commands as processes; kills those still running at the end."""
 
     def __init__(self, folder, more=""):
         self.folder, self.all, self.port = folder, [], free_port()
@@ -54,7 +54,7 @@
         return out.stdout if code == 0 else out.stderr
 
     def members(self, count, state="live"):
-        """Waits until so many members are in that state."""
+        """Waits until count members are in that state."""
         for _ in range(100):
             rows = json.loads(self.call("status", "--json"))["members"]
             if sum(row["state"] == state for row in rows) == count:
@@ -80,7 +80,7 @@
     return process, port
 
 
-def test_desk_relay_and_routers_with_kills_on_every_side(tmp_path):
+def test_desk_relay_and_routers_survive_kills_of_each(tmp_path):
     with Standing(Cache) as cache, Run(tmp_path) as run:
         desk = run.desk()
         relay_port = free_port()
@@ -98,7 +98,7 @@
         )
         assert told["in_effect_ms"] and len(told["numbers"]) == 2 and not told["repeated"]
 
-        relay.kill()  # with its router told; the next purge waits for the lease, not for ever
+        relay.kill()  # its router has applied the purge; the next one waits at most for the lease
         began = time.monotonic()
         run.call("submit", "--tag", "sheet", "--wait", "--json")
         assert time.monotonic() - began < 6
@@ -106,14 +106,14 @@
         rows = run.members(2)
         assert {row["name"]: row["relay"] for row in rows} == {"depot": True, "n2": False}
 
-        desk.kill()  # killed, the order goes on under a new epoch, and a repeat is known
+        desk.kill()  # the order continues under a new epoch, and a repeated key is known
         run.desk()
         again = json.loads(run.call("submit", "--tag", "sheet", "--group", "3", "--json", "--key", "k1"))
         assert again["repeated"] and again["numbers"] == told["numbers"]
         newer = json.loads(run.call("submit", "--glob", "clip/7f*", "--wait", "--json"))["numbers"][0]
         assert newer.split(".")[1] == "4" and int(newer.split(".")[0]) > int(told["numbers"][0].split(".")[0])
 
-        two.send_signal(signal.SIGSTOP)  # paused over its lease: nobody waits for it longer than that
+        two.send_signal(signal.SIGSTOP)  # paused beyond its lease: a purge waits no longer than that
         json.loads(run.call("submit", "--object", NAME, "--wait", "--json"))
         assert "n2 (" in run.call("status", newer) or "in effect since" in run.call("status", newer)
         two.send_signal(signal.SIGCONT)
@@ -122,17 +122,17 @@
 
         with socket.create_connection(("127.0.0.1", port), 5) as connection:
             connection.settimeout(10)
-            # The stand-in tells no time: its copies are as old as can be.
+            # The stand-in states no age: its copies count as the oldest possible.
             got = ask(connection, message(1), 1)
             assert set(got[1][1]) == {1}
         two.send_signal(signal.SIGTERM)
         said = two.communicate(timeout=10)[1]
         assert "Traceback" not in said, said
         assert two.returncode == 0 and "purges_told" in said
-        assert [row["name"] for row in run.members(1)] == ["depot"]  # it left: nobody waits for it
+        assert [row["name"] for row in run.members(1)] == ["depot"]  # it has left: no purge waits for it
 
 
-def test_after_a_kill_the_desk_shows_what_was_purged_before_by_whom_and_from_when(tmp_path):
+def test_after_a_kill_the_desk_reports_earlier_purges_with_key_and_effect(tmp_path):
     with Run(tmp_path) as run:
         desk = run.desk()
         sheet = tmp_path / "sheet"
@@ -148,7 +148,7 @@
         assert found["of"] == 200 and [row["number"] for row in rows] == told["numbers"]
         assert [row["what"] for row in rows] == [f"{n:016x}" for n in range(200)]
         assert all(row["key"] == told["key"] and "@" in row["key"] and row["by"] for row in rows)
-        # Of just before the kill: in doubt for a lease, then in effect, and the time that is stated holds.
+        # Accepted just before the kill: uncertain for a lease, then in effect by the stated time.
         for _ in range(100):
             last = json.loads(run.call("status", told["numbers"][-1].split(".")[1], "--json"))
             if last["in_effect_ms"]:
@@ -160,7 +160,7 @@
         assert json.loads(run.call("status", f"{epoch[-3:]}.{n}", "--json"))["what"] == f"{2:016x}"
         assert "no purge of that number" in run.call("status", f"{(int(epoch) + 1) % 1000}.{n}", code=2)
         assert "no number of a purge" in run.call("status", "3.x", code=2)
-        # Two leases and a little after they were made: another life takes them for done.
+        # More than two leases after they were accepted: a new process counts them as in effect.
         time.sleep(max(0, rows[-1]["accepted_ms"] / 1_000 + 4.1 - time.time()))
         desk.kill()
         desk.wait()
@@ -170,7 +170,7 @@
         assert all(4_000 < row["in_effect_ms"] - row["accepted_ms"] < 4_200 for row in rows)
 
 
-def test_the_desk_refuses_in_one_line_and_by_the_secret(tmp_path):
+def test_the_desk_refuses_invalid_requests_and_wrong_secrets(tmp_path):
     with Run(tmp_path) as run:
         assert "no desk at" in run.call("submit", "--tag", "a", code=1)
         desk = run.desk()
@@ -216,7 +216,7 @@
     resource.setrlimit(resource.RLIMIT_FSIZE, (300_000, 300_000))
 
 
-def test_a_full_disk_refuses_at_once_loses_nothing_acknowledged_and_is_got_over(tmp_path):
+def test_a_full_disk_refuses_at_once_and_loses_no_acknowledged_purge(tmp_path):
     with Run(tmp_path) as run:
         process = subprocess.Popen(
             [sys.executable, "-m", "hookrouter", "purges", "serve", "--site", str(tmp_path / "desk.ini")],
@@ -262,17 +262,17 @@
         assert again["repeated"] and [row["number"] for row in again["purges"]] == acknowledged[:100]
 
 
-def test_the_desks_clock_goes_on_where_the_wall_goes_back_and_follows_it_forward():
+def test_the_desks_clock_advances_when_the_wall_clock_steps_back_and_follows_it_forward():
     wall, passed = [100.0], [0]
     clock = Clock(lambda: wall[0], lambda: passed[0])
     assert clock() == 1_000_000
-    wall[0], passed[0] = 97.0, 10_000  # a second later the wall was set back by four
+    wall[0], passed[0] = 97.0, 10_000  # a second later; the wall clock was set back by four
     assert clock() == 1_010_000
     wall[0], passed[0] = 110.0, 20_000
     assert clock() == 1_100_000
 
 
-def test_a_store_that_was_restored_begins_above_what_followers_know(tmp_path):
+def test_a_restored_store_starts_above_the_followers_epoch(tmp_path):
     with Run(tmp_path) as run:
         desk = run.desk()
         run.call("submit", "--tag", "a")
@@ -292,4 +292,4 @@
             run.desk()
             rows = run.members(1)
             new = json.loads(run.call("submit", "--tag", "c", "--wait", "--json"))["numbers"]
-            assert new != lost and rows[0]["name"] == "n1"  # the same place in the order, under another epoch
+            assert new != lost and rows[0]["name"] == "n1"  # the same number, under another epoch
--- a/tests/test_purge_store.py
+++ b/tests/test_purge_store.py
@@ -1,4 +1,4 @@
-"""The store of purges: killed, filled, torn, restored; and the operator's file with everything wrong in it."""
+"""The store of purges under kills, full disks and corruption; faults of the operator's file."""
 
 import os
 import sqlite3
@@ -25,7 +25,7 @@
     return log
 
 
-def test_what_was_appended_is_there_again_and_epochs_only_rise(tmp_path):
+def test_appended_purges_are_read_back_and_epochs_only_rise(tmp_path):
     path = tmp_path / "s.db"
     filled(path).close()
     log = PurgeLog(path)
@@ -51,9 +51,8 @@
     log.close()
 
 
-# A process that folds, appends and is killed by itself in the middle of a step; the store must be as before
-# the
-# step or as after it.
+# A process that truncates and appends, and kills itself in the middle of a step: the store must be as before
+# the step or as after it.
 KILLED = """
 import os, signal, sys, sqlite3
 from hookrouter.stores import PurgeLog
@@ -77,22 +76,22 @@
 
 
 @pytest.mark.parametrize("statements", (0, 2, 3, 7, 30, 55, 58, 60, 61, 64, 150, 333))
-def test_a_kill_at_any_statement_leaves_the_store_whole_and_keeps_what_was_said(tmp_path, statements):
+def test_a_kill_at_any_statement_leaves_an_intact_store_with_all_acknowledged_purges(tmp_path, statements):
     path = tmp_path / "s.db"
     filled(path).close()
-    out = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", KILLED, path, str(statements)], capture_output=True, text=True
     )
-    assert out.returncode == -9, out.stderr
-    said = [int(line) for line in out.stdout.split()]
+    assert completed.returncode == -9, completed.stderr
+    acknowledged = [int(line) for line in completed.stdout.split()]
     log = PurgeLog(path, must_exist=True)
     numbers = [purge.n for purge, _ in log.load().rows]
-    assert numbers == list(range(numbers[0], numbers[-1] + 1)) and numbers[-1] >= max([3_000, *said])
+    assert numbers == list(range(numbers[0], numbers[-1] + 1)) and numbers[-1] >= max([3_000, *acknowledged])
     assert log.verify() == (len(numbers), [])
     log.close()
 
 
-def test_a_full_disk_refuses_the_batch_and_keeps_the_rest(tmp_path):
+def test_a_full_disk_refuses_the_batch_and_keeps_earlier_ones(tmp_path):
     path = tmp_path / "s.db"
     log = filled(path, 100)
     pages = log.connection.execute("PRAGMA page_count").fetchone()[0]
@@ -108,7 +107,7 @@
 
 
 @pytest.mark.parametrize(
-    "wrong, n, said",
+    "damage, number, message",
     [
         ("UPDATE purges SET what = 'o9' WHERE n = 70", 70, "is not as it was written"),
         ("UPDATE purges SET made = made + 1 WHERE n = 100", 100, "is not as it was written"),
@@ -123,46 +122,46 @@
         ("DELETE FROM facts WHERE name = 'floor seal'", None, "floor seal is missing"),
     ],
 )
-def test_damage_is_found_and_named(tmp_path, wrong, n, said):
+def test_corruption_is_detected_and_located(tmp_path, damage, number, message):
     path = tmp_path / "s.db"
     log = filled(path, 100)
-    log.connection.execute(wrong)
+    log.connection.execute(damage)
     log.close()
     log = PurgeLog(path)
-    with pytest.raises(DamagedStore, match=said) as found:
+    with pytest.raises(DamagedStore, match=message) as found:
         log.load()
-    assert found.value.first_bad == n
-    assert any(said in line for line in log.verify()[1])
+    assert found.value.first_bad == number
+    assert any(message in line for line in log.verify()[1])
     log.close()
 
 
-@pytest.mark.parametrize("keep", ("torn", "flipped"))
-def test_a_torn_or_flipped_page_is_no_store_that_is_believed(tmp_path, keep):
+@pytest.mark.parametrize("damage", ("torn", "flipped"))
+def test_a_torn_or_flipped_page_is_detected(tmp_path, damage):
     path = tmp_path / "s.db"
     filled(path).close()
     data = bytearray(path.read_bytes())
-    page, whole = 4_096, len(data) // 4_096
-    wrong = 0
-    for number in range(1, whole, 7):
-        broken = bytearray(data)
-        if keep == "torn":
-            broken[number * page + 512 : (number + 1) * page] = bytes(page - 512)
+    page_size, pages = 4_096, len(data) // 4_096
+    detected = 0
+    for number in range(1, pages, 7):
+        damaged = bytearray(data)
+        if damage == "torn":
+            damaged[number * page_size + 512 : (number + 1) * page_size] = bytes(page_size - 512)
         else:
-            broken[number * page + 2_000] ^= 0x10
-        path.write_bytes(broken)
+            damaged[number * page_size + 2_000] ^= 0x10
+        path.write_bytes(damaged)
         try:
             log = PurgeLog(path, must_exist=True)
-            sound = log.load().rows == batch(1, 3_000)
+            intact = log.load().rows == batch(1, 3_000)
             log.close()
         except UnusableStore:
-            sound = False
-        wrong += not sound
-        if sound:  # then the page holds nothing of the order, or nothing in that place
-            assert keep == "flipped" or number >= whole - 3
-    assert wrong > whole // 7 - 4
+            intact = False
+        detected += not intact
+        if intact:  # then the page holds no row, or nothing at the damaged place
+            assert damage == "flipped" or number >= pages - 3
+    assert detected > pages // 7 - 4
 
 
-def test_one_process_at_a_time_and_only_a_store(tmp_path):
+def test_a_store_is_opened_by_one_process_and_other_files_are_refused(tmp_path):
     path = tmp_path / "s.db"
     log = filled(path, 1)
     with pytest.raises(UnusableStore, match="another process holds it"):
@@ -199,7 +198,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    "text, message",
     [
         (GOOD + "lease = 2", "4: [purges] lease: '2' has no number and unit"),
         (GOOD + "lease = 2 parsec", "4: [purges] lease: '2 parsec' has no number and unit"),
@@ -224,19 +223,19 @@
         (GOOD + "lease = 2 s\nlease = 3 s\n", "5: While reading from the file [line  5]: option 'lease'"),
     ],
 )
-def test_a_bad_file_is_refused_with_line_key_and_what_is_wanted(tmp_path, text, said):
+def test_an_invalid_site_file_is_refused_with_line_key_and_expected_value(tmp_path, text, message):
     secret_file(tmp_path)
-    assert any(line.startswith(said) for line in faults(tmp_path, text)), faults(tmp_path, text)
+    assert any(line.startswith(message) for line in faults(tmp_path, text)), faults(tmp_path, text)
 
 
-def test_all_faults_come_in_one_pass_in_the_order_of_lines(tmp_path):
+def test_all_faults_of_a_site_file_are_reported_at_once_by_line(tmp_path):
     secret_file(tmp_path, 0o644)
     found = faults(tmp_path, GOOD + "lease = x\nskew = 1 h\n[log]\nformat = xml\n[nothing]\n")
     assert [line.split(":")[0] for line in found] == ["3", "4", "5", "7", "8"]
     assert "others may read it" in found[0]
 
 
-def test_a_good_file_and_its_secret_that_nothing_prints(tmp_path):
+def test_a_valid_site_file_is_read_and_its_secret_is_never_printed(tmp_path):
     secret_file(tmp_path)
     (tmp_path / "site.ini").write_text(GOOD + "lease = 1.5 s\n# a remark\nhold = 1 h\n")
     sections = read(str(tmp_path / "site.ini"))
