--- a/hookrouter/desk/desk.py
+++ b/hookrouter/desk/desk.py
@@ -58,17 +58,17 @@
         self.followers = Followers(purges["lease"], purges["skew"], ROUNDING, now, loaded.followers)
         self.stored_names = {name for name, _ in loaded.followers}  # known to be on disk
         self._load_recent(loaded)
-        self._track_former_purges(now)
+        self._track_restored_purges(now)
 
     # ---- the store
 
-    def _track_former_purges(self, now: int) -> None:
+    def _track_restored_purges(self, now: int) -> None:
         """Tracks the purges that a previous incarnation accepted recently: they may not be in effect yet.
 
         The margin allows for that incarnation having run on another machine's clock.
         """
-        self.recalled_at = self.clock()  # start of the wait for previous incarnations' purges
-        accepted_since = self.recalled_at - self.followers.doubt()
+        self.restored_at = self.clock()  # start of the wait for previous incarnations' purges
+        accepted_since = self.restored_at - self.followers.doubt()
         self.followers.read_anew(
             now, [purge for purge in self.tail.recent if purge.timestamp >= accepted_since]
         )
@@ -76,7 +76,7 @@
     def _load_recent(self, loaded: LoadedPurges) -> None:
         """Loads the purges shown to operators from the store."""
         self.floor = loaded.floor  # number of the last purge removed from the start
-        self.recent.recall(loaded.rows[-MAX_RECENT:])
+        self.recent.restore(loaded.rows[-MAX_RECENT:])
 
     def _reopen(self, min_epoch: int = 0) -> None:
         """Reads the store again under a new epoch of at least min_epoch; retries until it succeeds."""
@@ -88,7 +88,7 @@
     def _reopened(self, restored: RestoredOrder) -> None:
         self.tail, keys, loaded = restored
         self._apply(self.ledger.reopened(self.tail, keys))
-        self._track_former_purges(steady())
+        self._track_restored_purges(steady())
         self._load_recent(loaded)
         self.log("store read again", epoch=self.tail.epoch, newest=self.tail.newest.n)
         for stream in list(self.streams):
@@ -243,7 +243,7 @@
 
     def purge_facts(self, number: int) -> dict[str, Any] | None:
         """Returns the facts of one of the newest purges, or None; see RecentPurges.facts."""
-        return self.recent.facts(number, steady(), self.recalled_at, self.followers)
+        return self.recent.facts(number, steady(), self.restored_at, self.followers)
 
     def newest(self, limit: int) -> tuple[list[dict[str, Any]], int]:
         """Returns (facts of up to limit of the newest purges, how many the store holds in total)."""
--- a/hookrouter/desk/recent.py
+++ b/hookrouter/desk/recent.py
@@ -28,7 +28,7 @@
         self.rows: dict[int, RecentPurge] = {}  # in order, the newest last
         self.effective_at: dict[int, int] = {}  # number -> time from which it is in effect
 
-    def recall(self, stored: Iterable[tuple[Purge, str]]) -> None:
+    def restore(self, stored: Iterable[tuple[Purge, str]]) -> None:
         """Replaces all rows by a store's purges, each with its key; keeps the rows of this incarnation."""
         known, self.rows = self.rows, {}
         for purge, key in stored:
@@ -64,25 +64,25 @@
         """Returns the numbers of up to limit of the newest purges, the newest last."""
         return list(self.rows)[-limit:]
 
-    def facts(self, number: int, now: int, recalled_at: int, followers: Followers) -> dict[str, Any] | None:
+    def facts(self, number: int, now: int, restored_at: int, followers: Followers) -> dict[str, Any] | None:
         """Returns the facts of a purge, or None if it is not among the newest.
 
-        now: steady time. recalled_at: the desk time at which this incarnation read the store. `by`: the purge
+        now: steady time. restored_at: the desk time at which this incarnation read the store. `by`: the purge
         was accepted by a previous incarnation, so in_effect_ms is an upper bound.
         """
         if number not in self.rows:
             return None
         purge, accepted_at, accepted_steady, key = self.rows[number]
-        is_former, effective = accepted_steady is None, self.effective_at.get(number)
-        if is_former:
-            latest = recalled_at + followers.latest(0)
+        is_restored, effective = accepted_steady is None, self.effective_at.get(number)
+        if is_restored:
+            latest = restored_at + followers.latest(0)
             # Older than the uncertain period at the start of this incarnation: in effect after at most that
             # period.
-            if effective is None and accepted_at < recalled_at - followers.doubt():
+            if effective is None and accepted_at < restored_at - followers.doubt():
                 effective = latest = accepted_at + 2 * followers.span + followers.settling()
         else:
             latest = accepted_at + followers.latest(accepted_steady) - accepted_steady
-        behind = [] if is_former and effective is not None else followers.behind(now, number)[:MAX_BEHIND]
+        behind = [] if is_restored and effective is not None else followers.behind(now, number)[:MAX_BEHIND]
         return {
             "number": wire.number(purge),
             "sort": purge.kind,
@@ -90,8 +90,8 @@
             "key": key,
             "accepted_ms": accepted_at // 10,
             "in_effect_ms": effective // 10 if effective is not None else None,
-            "by": is_former,
+            "by": is_restored,
             "latest_ms": latest // 10,
             "members": len(followers.rows),
-            "behind": [{"name": name, "state": state, "n": place} for name, state, place in behind],
+            "behind": [{"name": name, "state": state, "n": position} for name, state, position in behind],
         }
--- a/hookrouter/stores/purge_log.py
+++ b/hookrouter/stores/purge_log.py
@@ -20,7 +20,7 @@
 
 APPLICATION_ID = 0x686B7072  # SQLite application id: "hkpr"
 VERSION = 2
-FORMER_VERSION = 1  # has no sealed part, which is added when the file is opened
+PREVIOUS_VERSION = 1  # has no sealed part, which is added when the file is opened
 ROWS_PER_FETCH = 10_000  # rows read at a time
 DEFAULT_HOLD = 864_000_000  # 24 h in tenths of a millisecond; for readers without a configured hold
 
@@ -79,7 +79,7 @@
         else:
             execute("BEGIN IMMEDIATE")  # locks the file for this process
             execute("COMMIT")
-        if self._fact("version") == FORMER_VERSION:
+        if self._fact("version") == PREVIOUS_VERSION:
             self._add_sealed_part()
         if self._fact("version") != VERSION:
             raise ForeignStore(
--- a/tests/test_purge_catch_up.py
+++ b/tests/test_purge_catch_up.py
@@ -234,9 +234,9 @@
     return found
 
 
-def wait_for(what, within=30.0):
+def wait_for(condition, within=30.0):
     end = time.monotonic() + within
-    while not (found := what()) and time.monotonic() < end:
+    while not (found := condition()) and time.monotonic() < end:
         time.sleep(0.05)
     return found
 
--- a/tests/test_purge_processes.py
+++ b/tests/test_purge_processes.py
@@ -29,9 +29,9 @@
         (self.folder / "site.ini").rename(self.folder / name)
         return str(self.folder / name)
 
-    def start(self, *words, said, **environment):
+    def start(self, *arguments, said, **environment):
         process = subprocess.Popen(
-            [sys.executable, "-m", "hookrouter", *words],
+            [sys.executable, "-m", "hookrouter", *arguments],
             stderr=subprocess.PIPE,
             text=True,
             env={**os.environ, **environment},
@@ -43,15 +43,23 @@
     def desk(self):
         return self.start("purges", "serve", "--site", str(self.folder / "desk.ini"), said="serving purges")
 
-    def call(self, *words, code=0):
-        out = subprocess.run(
-            [sys.executable, "-m", "hookrouter", "purges", *words, "--site", str(self.folder / "desk.ini")],
+    def call(self, *arguments, code=0):
+        completed = subprocess.run(
+            [
+                sys.executable,
+                "-m",
+                "hookrouter",
+                "purges",
+                *arguments,
+                "--site",
+                str(self.folder / "desk.ini"),
+            ],
             capture_output=True,
             text=True,
             timeout=30,
         )
-        assert out.returncode == code and "Traceback" not in out.stderr, out.stderr
-        return out.stdout if code == 0 else out.stderr
+        assert completed.returncode == code and "Traceback" not in completed.stderr, completed.stderr
+        return completed.stdout if code == 0 else completed.stderr
 
     def members(self, count, state="live"):
         """Waits until count members are in that state."""
@@ -90,13 +98,13 @@
         below = run.site("", "below.ini", above=relay_port)
         relay = run.start("purges", "relay", "--site", relay_site, said="serving purges")
         fleet = [endpoint("c0", cache.port), endpoint("o0", cache.port, "origin")]
-        one, _ = router_of(run, fleet, "n1", below)
-        two, port = router_of(run, fleet, "n2", str(tmp_path / "desk.ini"))
+        relayed_router, _ = router_of(run, fleet, "n1", below)
+        direct_router, port = router_of(run, fleet, "n2", str(tmp_path / "desk.ini"))
         assert [row["name"] for row in run.members(2)] == ["depot", "n2"]
-        told = json.loads(
+        submitted = json.loads(
             run.call("submit", "--tag", "sheet", "--group", "3", "--wait", "--json", "--key", "k1")
         )
-        assert told["in_effect_ms"] and len(told["numbers"]) == 2 and not told["repeated"]
+        assert submitted["in_effect_ms"] and len(submitted["numbers"]) == 2 and not submitted["repeated"]
 
         relay.kill()  # its router has applied the purge; the next one waits at most for the lease
         began = time.monotonic()
@@ -109,35 +117,38 @@
         desk.kill()  # the order continues under a new epoch, and a repeated key is known
         run.desk()
         again = json.loads(run.call("submit", "--tag", "sheet", "--group", "3", "--json", "--key", "k1"))
-        assert again["repeated"] and again["numbers"] == told["numbers"]
+        assert again["repeated"] and again["numbers"] == submitted["numbers"]
         newer = json.loads(run.call("submit", "--glob", "clip/7f*", "--wait", "--json"))["numbers"][0]
-        assert newer.split(".")[1] == "4" and int(newer.split(".")[0]) > int(told["numbers"][0].split(".")[0])
+        assert newer.split(".")[1] == "4" and int(newer.split(".")[0]) > int(
+            submitted["numbers"][0].split(".")[0]
+        )
 
-        two.send_signal(signal.SIGSTOP)  # paused beyond its lease: a purge waits no longer than that
+        # Paused beyond its lease: a purge waits no longer than that.
+        direct_router.send_signal(signal.SIGSTOP)
         json.loads(run.call("submit", "--object", NAME, "--wait", "--json"))
         assert "n2 (" in run.call("status", newer) or "in effect since" in run.call("status", newer)
-        two.send_signal(signal.SIGCONT)
+        direct_router.send_signal(signal.SIGCONT)
         run.members(2)
         import socket
 
         with socket.create_connection(("127.0.0.1", port), 5) as connection:
             connection.settimeout(10)
             # The stand-in states no age: its copies count as the oldest possible.
-            got = ask(connection, message(1), 1)
-            assert set(got[1][1]) == {1}
-        two.send_signal(signal.SIGTERM)
-        said = two.communicate(timeout=10)[1]
-        assert "Traceback" not in said, said
-        assert two.returncode == 0 and "purges_told" in said
+            response = ask(connection, message(1), 1)
+            assert set(response[1][1]) == {1}
+        direct_router.send_signal(signal.SIGTERM)
+        stderr = direct_router.communicate(timeout=10)[1]
+        assert "Traceback" not in stderr, stderr
+        assert direct_router.returncode == 0 and "purges_told" in stderr
         assert [row["name"] for row in run.members(1)] == ["depot"]  # it has left: no purge waits for it
 
 
 def test_after_a_kill_the_desk_reports_earlier_purges_with_key_and_effect(tmp_path):
     with Run(tmp_path) as run:
         desk = run.desk()
-        sheet = tmp_path / "sheet"
-        sheet.write_text("".join(f"object {n:016x}\n" for n in range(200)))
-        told = json.loads(run.call("submit", "--from-file", str(sheet), "--wait", "--json"))
+        purge_list = tmp_path / "sheet"
+        purge_list.write_text("".join(f"object {number:016x}\n" for number in range(200)))
+        submitted = json.loads(run.call("submit", "--from-file", str(purge_list), "--wait", "--json"))
         shown = json.loads(run.call("list", "--json", "--last", "1000"))
         assert not any(row["by"] for row in shown["purges"])
         desk.kill()
@@ -145,20 +156,20 @@
         desk = run.desk()
         found = json.loads(run.call("list", "--json", "--last", "1000"))
         rows = found["purges"]
-        assert found["of"] == 200 and [row["number"] for row in rows] == told["numbers"]
-        assert [row["what"] for row in rows] == [f"{n:016x}" for n in range(200)]
-        assert all(row["key"] == told["key"] and "@" in row["key"] and row["by"] for row in rows)
+        assert found["of"] == 200 and [row["number"] for row in rows] == submitted["numbers"]
+        assert [row["what"] for row in rows] == [f"{number:016x}" for number in range(200)]
+        assert all(row["key"] == submitted["key"] and "@" in row["key"] and row["by"] for row in rows)
         # Accepted just before the kill: uncertain for a lease, then in effect by the stated time.
         for _ in range(100):
-            last = json.loads(run.call("status", told["numbers"][-1].split(".")[1], "--json"))
+            last = json.loads(run.call("status", submitted["numbers"][-1].split(".")[1], "--json"))
             if last["in_effect_ms"]:
                 break
             assert time.time() * 1_000 < last["latest_ms"] + 200
             time.sleep(0.1)
-        assert last["number"] == told["numbers"][-1] and last["in_effect_ms"] <= last["latest_ms"] + 50
-        epoch, n = told["numbers"][2].split(".")
-        assert json.loads(run.call("status", f"{epoch[-3:]}.{n}", "--json"))["what"] == f"{2:016x}"
-        assert "no purge of that number" in run.call("status", f"{(int(epoch) + 1) % 1000}.{n}", code=2)
+        assert last["number"] == submitted["numbers"][-1] and last["in_effect_ms"] <= last["latest_ms"] + 50
+        epoch, number = submitted["numbers"][2].split(".")
+        assert json.loads(run.call("status", f"{epoch[-3:]}.{number}", "--json"))["what"] == f"{2:016x}"
+        assert "no purge of that number" in run.call("status", f"{(int(epoch) + 1) % 1000}.{number}", code=2)
         assert "no number of a purge" in run.call("status", "3.x", code=2)
         # More than two leases after they were accepted: a new process counts them as in effect.
         time.sleep(max(0, rows[-1]["accepted_ms"] / 1_000 + 4.1 - time.time()))
@@ -188,8 +199,8 @@
             ("/v1/feed", {"Authorization": "Bearer 0123456789abcdef"}, 400),
         ):
             connection.request("GET", path, headers=fields)
-            got = connection.getresponse()
-            assert got.status == status and json.loads(got.read())["error"]
+            response = connection.getresponse()
+            assert response.status == status and json.loads(response.read())["error"]
         for body in (
             b"{",
             b"[]",
@@ -197,16 +208,16 @@
             b'{"key": 5}',
         ):
             connection.request("POST", "/v1/purges", body, {"Authorization": "Bearer 0123456789abcdef"})
-            got = connection.getresponse()
-            assert got.status == 400 and json.loads(got.read())["error"]
+            response = connection.getresponse()
+            assert response.status == 400 and json.loads(response.read())["error"]
         with pytest.raises((OSError, http.client.HTTPException)):
             connection.request(
                 "POST", "/v1/purges", b"x" * 2_000_000, {"Authorization": "Bearer 0123456789abcdef"}
             )
             connection.getresponse()
         desk.send_signal(signal.SIGTERM)
-        said = desk.communicate(timeout=10)[1]
-        assert desk.returncode == 0 and "Traceback" not in said and "0123456789abcdef" not in said
+        stderr = desk.communicate(timeout=10)[1]
+        assert desk.returncode == 0 and "Traceback" not in stderr and "0123456789abcdef" not in stderr
         assert "1 purges are sound" in run.call("verify")
 
 
@@ -228,21 +239,23 @@
         assert "serving purges" in process.stderr.readline()
         connection = http.client.HTTPConnection("127.0.0.1", run.port, timeout=5)
         acknowledged = []
-        for n in range(200):
-            rows = [{"sort": "object", "what": f"{n}-{k}" + "x" * 100} for k in range(100)]
+        for number in range(200):
+            rows = [{"sort": "object", "what": f"{number}-{k}" + "x" * 100} for k in range(100)]
             connection.request(
                 "POST",
                 "/v1/purges",
-                json.dumps({"key": f"k{n}", "purges": rows}),
+                json.dumps({"key": f"k{number}", "purges": rows}),
                 {"Authorization": "Bearer 0123456789abcdef"},
             )
-            got = connection.getresponse()
-            body = json.loads(got.read())
-            if got.status != 200:
+            response = connection.getresponse()
+            body = json.loads(response.read())
+            if response.status != 200:
                 break
             acknowledged += [row["number"] for row in body["purges"]]
         assert (
-            got.status == 503 and got.headers["Retry-After"] == "1" and "cannot be written" in body["error"]
+            response.status == 503
+            and response.headers["Retry-After"] == "1"
+            and "cannot be written" in body["error"]
         )
         assert len(acknowledged) >= 200
         assert "store cannot be written" in process.stderr.readline()
