--- a/hookrouter/stores/keeper_log.py
+++ b/hookrouter/stores/keeper_log.py
@@ -77,6 +77,7 @@
             )
 
     def close(self):
+        """Closes the file, which releases its lock."""
         self.connection.close()
 
     def _put(self, name, value):
--- a/hookrouter/stores/purge_log.py
+++ b/hookrouter/stores/purge_log.py
@@ -94,6 +94,7 @@
             execute("UPDATE facts SET value = ? WHERE name = 'version'", (VERSION,))
 
     def close(self):
+        """Closes the file, which releases its lock."""
         self.connection.close()
 
     def _fact(self, name):
@@ -121,7 +122,7 @@
     def _sealed_end(self):
         """Returns (number of the last purge that is sealed or removed, its hash)."""
         floor = self._fact("floor"), self._fact("floor seal")
-        return max(floor, self.sealed_tables.sealed_through(), key=lambda place: place[0])
+        return max(floor, self.sealed_tables.sealed_through(), key=lambda end: end[0])
 
     def _rows(self, number, previous_hash):
         """Yields the verified rows after that number. previous_hash: of the row of that number."""
--- a/hookrouter/stores/trace_log.py
+++ b/hookrouter/stores/trace_log.py
@@ -47,6 +47,7 @@
         self.size = self.file.write(self.compressor.compress(self.header))
 
     def close(self):
+        """Closes the current segment; the next write begins another one."""
         if self.file is not None:
             file, self.file = self.file, None
             with suppress(OSError):  # close retries the write that a full disk refused; it is lost either way
--- a/tests/test_purge_catch_up.py
+++ b/tests/test_purge_catch_up.py
@@ -183,7 +183,7 @@
 
 
 class Answering(Cache):
-    """A cache that answers with fresh copies and records the requested maximum age in milliseconds by path."""
+    """Answers with fresh copies; records the requested maximum age in milliseconds by path."""
 
     limits = {}
 
