--- a/hookrouter/desk/recent.py
+++ b/hookrouter/desk/recent.py
@@ -1,4 +1,4 @@
-"""What the desk shows of its newest purges: by whom, when accepted, and from when each is in effect."""
+"""The desk's status of its newest purges: submission key, and when each was accepted and took effect."""
 
 from collections.abc import Iterable
 from typing import Any, NamedTuple
@@ -7,82 +7,91 @@
 from ..purges.followers import Followers
 from ..purges.types import Purge
 
-MOST_LATEST = 10_000  # purges whose numbers and times are shown on request
-MOST_BEHIND = 100  # followers that one answer names
+MAX_RECENT = 10_000  # purges whose status can be requested
+MAX_BEHIND = 100  # followers listed as behind in one answer
 
 
-class Recent(NamedTuple):
-    """One of them. at: the steady time at which it was accepted; None: by a former life of the desk."""
+class RecentPurge(NamedTuple):
+    """A purge and its acceptance. accepted_steady: by the steady clock; None: by a previous incarnation."""
 
     purge: Purge
-    wall: int  # when it was accepted, by the desk's clock
-    at: int | None
+    accepted_at: int  # by the desk's clock
+    accepted_steady: int | None
     key: str  # of its submission
 
 
 class RecentPurges:
-    """So many of the newest, by number. Times are in tenths of a millisecond; wall: of the desk's clock."""
+    """The newest purges by number. Times are in tenths of a millisecond, of the desk's clock or steady."""
 
     def __init__(self) -> None:
-        """Knows none yet."""
-        self.rows: dict[int, Recent] = {}  # the newest last
-        self.effects: dict[int, int] = {}  # n -> wall time from which it is in effect
+        """Starts empty."""
+        self.rows: dict[int, RecentPurge] = {}  # in order, the newest last
+        self.effective_at: dict[int, int] = {}  # number -> time from which it is in effect
 
-    def recall(self, stored: Iterable[tuple[Purge, str]]) -> None:
-        """The purges of a store, each with its key, in place of all; those of this life stay as known."""
+    def restore(self, stored: Iterable[tuple[Purge, str]]) -> None:
+        """Replaces all rows by a store's purges, each with its key; keeps the rows of this incarnation."""
         known, self.rows = self.rows, {}
         for purge, key in stored:
             row = known.get(purge.n)
-            # The time of the order stands in for that of the acceptance, which is after it by one write.
-            same = row is not None and row.purge == purge
-            self.rows[purge.n] = row if same else Recent(purge, purge.timestamp, None, key)
-        self.effects = {n: at for n, at in self.effects.items() if self.rows.get(n) == known.get(n)}
+            # The timestamp stands in for the time of acceptance, which is one disk write later.
+            is_same = row is not None and row.purge == purge
+            self.rows[purge.n] = row if is_same else RecentPurge(purge, purge.timestamp, None, key)
+        self.effective_at = {
+            number: effective
+            for number, effective in self.effective_at.items()
+            if self.rows.get(number) == known.get(number)
+        }
 
-    def add(self, now: int, wall: int, purges: Iterable[Purge], keys: Iterable[str]) -> None:
-        """Accepted now, by the steady clock. keys: of their submissions, one for each."""
+    def add(self, now: int, wall_now: int, purges: Iterable[Purge], keys: Iterable[str]) -> None:
+        """Adds purges accepted now. now: steady time; wall_now: desk time; keys: submission key of each
+        purge.
+        """
         for purge, key in zip(purges, keys):
-            self.rows.pop(purge.n, None)  # of before a store was restored
-            self.effects.pop(purge.n, None)
-            self.rows[purge.n] = Recent(purge, wall, now, key)
-        while len(self.rows) > MOST_LATEST:
-            n = next(iter(self.rows))
-            del self.rows[n]
-            self.effects.pop(n, None)
+            self.rows.pop(purge.n, None)  # from before the store was restored
+            self.effective_at.pop(purge.n, None)
+            self.rows[purge.n] = RecentPurge(purge, wall_now, now, key)
+        while len(self.rows) > MAX_RECENT:
+            number = next(iter(self.rows))
+            del self.rows[number]
+            self.effective_at.pop(number, None)
+
+    def in_effect(self, number: int, effective: int) -> None:
+        """Records the time from which a purge is in effect."""
+        if number in self.rows:
+            self.effective_at[number] = effective
 
-    def in_effect(self, n: int, wall: int) -> None:
-        """Purge n is in effect from that time on."""
-        if n in self.rows:
-            self.effects[n] = wall
+    def newest(self, limit: int) -> list[int]:
+        """Returns the numbers of up to limit of the newest purges, the newest last."""
+        return list(self.rows)[-limit:]
 
-    def newest(self, most: int) -> list[int]:
-        """Numbers of so many of the newest, the newest last."""
-        return list(self.rows)[-most:]
+    def facts(self, number: int, now: int, restored_at: int, followers: Followers) -> dict[str, Any] | None:
+        """Returns the facts of a purge, or None if it is not among the newest.
 
-    def facts(self, n: int, now: int, recalled: int, followers: Followers) -> dict[str, Any] | None:
-        """What is known of purge n, or None. recalled: the wall time from when this life counts what those
-        before it accepted. With `by` it was in effect by in_effect_ms.
+        now: steady time. restored_at: the desk time at which this incarnation read the store. `by`: the purge
+        was accepted by a previous incarnation, so in_effect_ms is an upper bound.
         """
-        if n not in self.rows:
+        if number not in self.rows:
             return None
-        purge, wall, at, key = self.rows[n]
-        former, effect = at is None, self.effects.get(n)
-        if former:
-            latest = recalled + followers.latest(0)
-            # Not doubtful at the start of this life: in effect by the span that the doubt has.
-            if effect is None and wall < recalled - followers.doubt():
-                effect = latest = wall + 2 * followers.span + followers.settling()
+        purge, accepted_at, accepted_steady, key = self.rows[number]
+        is_restored, effective = accepted_steady is None, self.effective_at.get(number)
+        if is_restored:
+            latest = restored_at + followers.latest(0)
+            # Older than the uncertain period at the start of this incarnation: in effect after at most that
+            # period.
+            if effective is None and accepted_at < restored_at - followers.doubt():
+                effective = latest = accepted_at + 2 * followers.span + followers.settling()
         else:
-            latest = wall + followers.latest(at) - at
-        behind = [] if former and effect is not None else followers.behind(now, n)[:MOST_BEHIND]
+            latest = accepted_at + followers.latest(accepted_steady) - accepted_steady
+        behind = [] if is_restored and effective is not None else followers.behind(now, number)[:MAX_BEHIND]
         return {
             "number": wire.number(purge),
             "sort": purge.kind,
             "what": purge.what,
             "key": key,
-            "accepted_ms": wall // 10,
-            "in_effect_ms": effect // 10 if effect is not None else None,
-            "by": former,
+            "accepted_ms": accepted_at // 10,
+            "in_effect_ms": effective // 10 if effective is not None else None,
+            "by": is_restored,
             "latest_ms": latest // 10,
             "members": len(followers.rows),
-            "behind": [{"name": name, "state": state, "n": place} for name, state, place in behind],
+            "behind": [{"name": name, "state": state, "n": position} for name, state, position in behind],
         }
--- a/hookrouter/fleet/member/purge_endpoint.py
+++ b/hookrouter/fleet/member/purge_endpoint.py
@@ -30,7 +30,7 @@
         return OwnerForwarder(self, self.secret)
 
 
-class OwnerForwarder(web.Face):
+class OwnerForwarder(web.AuthenticatedResource):
     """Forwards submissions and queries to the owner; followers get its address in X-Desk."""
 
     isLeaf = True
@@ -42,7 +42,7 @@
         return self._forward(request)
 
     def _forward(self, request):
-        endpoint = self.desk
+        endpoint = self.publisher
         owner_location = endpoint.owner_address()
         host, _, port = owner_location.rpartition(":")
         unavailable = (
@@ -50,7 +50,7 @@
         )
         if unavailable or request.path.startswith(FOLLOWER_PATHS) or endpoint.forwarded >= MAX_FORWARDED:
             fields = {} if unavailable else {"X_Desk": owner_location}
-            return web.answer(
+            return web.json_response(
                 request,
                 503,
                 {"error": "the desk is elsewhere" if not unavailable else "nobody owns the desk now"},
@@ -72,7 +72,7 @@
         return server.NOT_DONE_YET
 
     def _on_answer(self, result, request, client, disconnects):
-        self.desk.forwarded -= 1
+        self.publisher.forwarded -= 1
         client.stop()
         if disconnects:
             return
@@ -83,6 +83,8 @@
             if status == 503:
                 request.setHeader(b"Retry-After", b"1")
         else:
-            body = web.answer(request, 503, {"error": "the owner of the desk does not answer"}, Retry_After=1)
+            body = web.json_response(
+                request, 503, {"error": "the owner of the desk does not answer"}, Retry_After=1
+            )
         request.write(body)
         request.finish()
--- a/hookrouter/fleet/member/purges.py
+++ b/hookrouter/fleet/member/purges.py
@@ -12,7 +12,7 @@
 from ...decisions.owners.duties import APPEND, DECLARE, FOLLOWERS, OPEN, SWEEP
 from ...desk import web
 from ...desk.desk import Desk
-from ...desk.paced import paced
+from ...desk.reconnect_pacing import add_admission
 from ...stores.purge_rows import pack
 from .command_stream import DutyLost
 from .records import DUTY
@@ -51,20 +51,20 @@
             [request.addCallback(self._expect, "noted") for request in requests], consumeErrors=True
         )
 
-    def fold(self, upto):
+    def truncate(self, up_to):
         return succeed(None)  # done by SweepDuty
 
     def seal(self):
         return succeed(False)  # each keeper's copy seals by itself
 
-    def reopen(self, least):
+    def reopen(self, min_epoch):
         """Opens a new epoch."""
-        return self.duty.open_epoch(least)
+        return self.duty.open_epoch(min_epoch)
 
     def close(self):
         return succeed(None)
 
-    def end(self):
+    def release(self):
         pass
 
 
@@ -122,8 +122,8 @@
         desk = Desk(
             self.reactor, self.log, self.purges, self.section, ReplicatedStore(self), loaded, MAX_BATCH
         )
-        self.desk = paced(desk, self.sections, "desk", self.log)
-        self.tree = web.tree(self.desk, self.purges["secret"], True)
+        self.desk = add_admission(desk, self.sections, "desk", self.log)
+        self.tree = web.resource_tree(self.desk, self.purges["secret"], True)
         self.desk.start()
         self.log(
             "owns the desk",
--- a/hookrouter/fleet/member/records.py
+++ b/hookrouter/fleet/member/records.py
@@ -12,7 +12,7 @@
 from ...decisions.owners import protocol
 from ...decisions.owners.duties import INITIAL_HASH
 from ...decisions.replicas import record_copy
-from ...desk.local_store import SEALED_AT_ONCE, replayed
+from ...desk.local_store import SEAL_BATCH_SIZE, restore_order
 from ...desk.sealing import SealingLoop
 from ...errors.stores import CopyDiffers, DamagedStore
 from ...stores import PurgeLog, UnusableStore
@@ -54,7 +54,7 @@
 
     def _seal(self):
         """Seals one batch of old purges, so the next desk owner need not read them one by one."""
-        return self._in_thread(lambda: self.store.seal_some(self.terms, SEALED_AT_ONCE) == SEALED_AT_ONCE)
+        return self._in_thread(lambda: self.store.seal_batch(self.terms, SEAL_BATCH_SIZE) == SEAL_BATCH_SIZE)
 
     # ---- the store; blocking, run in its thread
 
@@ -113,10 +113,10 @@
             ).addBoth(self._on_fetch_served)
 
     def _read_for_fetch(self, fetch):
-        start, seal, bodies, agrees = self.store.part(fetch.after, fetch.chain_hash, MAX_FETCH_BYTES)
+        start, seal, bodies, agrees = self.store.read_part(fetch.after, fetch.chain_hash, MAX_FETCH_BYTES)
         index, names = self.store.position()[3], None
         if fetch.names:
-            bodies, names = [], self.store.names()[:MAX_NAMES]
+            bodies, names = [], self.store.follower_names()[:MAX_NAMES]
         return protocol.Fetched(DUTY, fetch.request_id, start, seal, bodies, agrees, index, names)
 
     def _on_fetch_served(self, _):
@@ -125,7 +125,7 @@
     def _apply(self, effects):
         for effect in effects:
             if isinstance(effect, record_copy.Write):
-                self._in_thread(self.store.file_steps, effect.steps, effect.index).addCallbacks(
+                self._in_thread(self.store.apply_steps, effect.steps, effect.index).addCallbacks(
                     self._write_done,
                     self._write_failed,
                     callbackArgs=(effect.write_id,),
@@ -200,17 +200,17 @@
         return self.copy.state == record_copy.COMPLETE
 
     def read(self, epoch):
-        """Returns a Deferred of the replayed store, as LocalStore does."""
+        """Returns a Deferred of the restored store, as LocalStore does."""
 
         def reading():
             loaded = self.store.load(self.terms.hold, self.terms.most_sealed)
-            return replayed(loaded, self.terms.hold, epoch)
+            return restore_order(loaded, self.terms.hold, epoch)
 
         return self._in_thread(reading)
 
     def older(self, timestamp, limit):
-        """Returns a Deferred of PurgeLog.older()."""
-        return self._in_thread(self.store.older, timestamp, limit)
+        """Returns a Deferred of PurgeLog.last_older_than()."""
+        return self._in_thread(self.store.last_older_than, timestamp, limit)
 
     def stop(self):
         """Stops; the store is closed after the queued calls."""
--- a/hookrouter/fleet/member/service.py
+++ b/hookrouter/fleet/member/service.py
@@ -134,11 +134,11 @@
         """Listens and starts all parts; raises twisted's CannotListenError if a port is taken."""
         self.peers.listen(*self.fleet["listen"])
         if self.records is not None:
-            from ...desk.web import serving
+            from ...desk.web import bounded_site
 
             host, port = self.desk_listen
             self.port = self.reactor.listenTCP(
-                port, serving(self.purge_endpoint), backlog=512, interface=host
+                port, bounded_site(self.purge_endpoint), backlog=512, interface=host
             )
         if self.keeper is not None:
             self._apply(self.keeper.take(steady(), protocol.Started()))
--- a/hookrouter/stores/purge_log.py
+++ b/hookrouter/stores/purge_log.py
@@ -1,9 +1,9 @@
-"""The desk's store: purges in order, each sealed over all before it; epochs; the names of followers.
+"""The desk's store: purges in order, each with a chained hash; the epoch; the names of followers.
 
-SQLite in WAL mode with synchronous FULL: a transaction that has returned is on disk, one that was cut off is
-not there at all (sqlite.org/wal.html). SQLite does not check its pages, so each row carries a seal over
-itself and the seal before it: a flipped, torn, missing or swapped row is found, and named. One process at a
-time holds a store. Calls block; the desk makes them from a thread of their own.
+SQLite in WAL mode with synchronous FULL: a committed transaction is on disk, an interrupted one leaves
+nothing (sqlite.org/wal.html). SQLite does not checksum its pages, so each row carries a hash over itself and
+the hash of the row before (column seal): a flipped, torn, missing or swapped row is detected and reported by
+number. One process at a time opens a store. Calls block; the desk makes them from a separate thread.
 """
 
 import sqlite3
@@ -14,15 +14,15 @@
 from ..purges.types import MOST_SEALED, Purge
 from ..tables.hash_chain import INITIAL_HASH
 from . import purge_slices
-from .purge_rows import seal
+from .purge_rows import purge_hash
 from .purge_steps import INSERT, CopySteps
-from .sqlite import BUSY, create, empty, fact, not_opened, transaction
+from .sqlite import LOCK_TIMEOUT, create_schema, open_error, prepare, read_fact, transaction
 
-MARK = 0x686B7072  # the file's application id: "hkpr"
+APPLICATION_ID = 0x686B7072  # SQLite application id: "hkpr"
 VERSION = 2
-FORMER_VERSION = 1  # without a sealed part: it is added when the file is opened
-ROWS = 10_000  # read at once
-DEFAULT_HOLD = 864_000_000  # 24 h in tenths of a millisecond, where whoever reads does not say
+PREVIOUS_VERSION = 1  # has no sealed part, which is added when the file is opened
+ROWS_PER_FETCH = 10_000  # rows read at a time
+DEFAULT_HOLD = 864_000_000  # 24 h in tenths of a millisecond; for readers without a configured hold
 
 SCHEMA = """
 CREATE TABLE facts (name TEXT PRIMARY KEY, value) WITHOUT ROWID;
@@ -32,51 +32,54 @@
 """
 
 
-class Loaded(NamedTuple):
-    """What a desk starts from."""
+class LoadedPurges(NamedTuple):
+    """What a store holds when it is opened."""
 
-    epoch: int  # the last life's
-    floor: int  # all up to this number is folded away
-    rows: list  # of (Purge, key), in order, behind what is sealed
-    followers: list  # of (name, generation)
-    sealed: purge_slices.SealedPart  # of the purges up to the first row
+    epoch: int  # of the previous incarnation
+    floor: int  # number of the last purge removed from the start
+    rows: list  # (Purge, key) in order, after the sealed part
+    followers: list  # (name, generation)
+    sealed: purge_slices.SealedPart  # the purges before the first row
 
 
 class PurgeLog(CopySteps):
+    """An open store of purges. Writes are one transaction each, which is on disk on return."""
+
     def __init__(self, path, must_exist=False):
+        """Opens and locks the file, or creates it. Raises UnusableStore."""
         self.path = path
         try:
-            self.file = sqlite3.connect(
+            self.connection = sqlite3.connect(
                 f"file:{path}?mode={'rw' if must_exist else 'rwc'}",
                 uri=True,
                 isolation_level=None,
                 check_same_thread=False,
-                timeout=BUSY,
+                timeout=LOCK_TIMEOUT,
             )
-            self.sealing = purge_slices.Sealing(self.file, path)
+            self.sealed_tables = purge_slices.SealedTables(self.connection, path)
             self._open()
-        except sqlite3.DatabaseError as wrong:
-            raise not_opened(path, wrong, "a desk") from None
-        self.last = None  # seal of the newest row
+        except sqlite3.DatabaseError as error:
+            raise open_error(path, error, "a desk") from None
+        self.last_hash = None  # hash of the newest row; set by load()
 
     def _open(self):
-        run = self.file.execute
-        if empty(self.file, self.path, MARK, "this is no store of purges"):
-            run("BEGIN EXCLUSIVE")
-            create(self.file, SCHEMA + purge_slices.SCHEMA, MARK)
+        execute = self.connection.execute
+        if prepare(self.connection, self.path, APPLICATION_ID, "this is no store of purges"):
+            execute("BEGIN EXCLUSIVE")
+            create_schema(self.connection, SCHEMA + purge_slices.SCHEMA, APPLICATION_ID)
             for name, value in (
                 ("version", VERSION),
                 ("epoch", 0),
                 ("floor", 0),
                 ("floor seal", INITIAL_HASH),
             ):
-                run("INSERT INTO facts VALUES (?, ?)", (name, value))
-            self.sealing.create()
-            run("COMMIT")
+                execute("INSERT INTO facts VALUES (?, ?)", (name, value))
+            self.sealed_tables.create()
+            execute("COMMIT")
         else:
-            run("BEGIN IMMEDIATE")  # held by this process from here on
-            run("COMMIT")
-        if self._fact("version") == FORMER_VERSION:
+            execute("BEGIN IMMEDIATE")  # locks the file for this process
+            execute("COMMIT")
+        if self._fact("version") == PREVIOUS_VERSION:
             self._add_sealed_part()
         if self._fact("version") != VERSION:
             raise ForeignStore(
@@ -84,136 +87,141 @@
             )
 
     def _add_sealed_part(self):
-        with transaction(self.file) as run:
+        with transaction(self.connection) as execute:
             for statement in purge_slices.SCHEMA.split(";")[:-1]:
-                run(statement)
-            self.sealing.create()
-            run("UPDATE facts SET value = ? WHERE name = 'version'", (VERSION,))
+                execute(statement)
+            self.sealed_tables.create()
+            execute("UPDATE facts SET value = ? WHERE name = 'version'", (VERSION,))
 
     def close(self):
-        self.file.close()
+        """Closes the file, which releases its lock."""
+        self.connection.close()
 
     def _fact(self, name):
-        return fact(self.file, self.path, name)
+        return read_fact(self.connection, self.path, name)
 
     # ---- read
 
     def load(self, hold=DEFAULT_HOLD, most_sealed=MOST_SEALED):
-        """The sealed part and the rows behind it, seals checked. DamagedStore names the first row that is not
-        as it was written. hold, most_sealed: as in PurgeTerms.
+        """Reads the sealed part and the rows after it, and verifies the hashes. Raises DamagedStore with the
+        first corrupted row. hold, most_sealed: as in PurgeTerms.
         """
         try:
-            part = self.sealing.read(hold, most_sealed)
-        except sqlite3.DatabaseError as wrong:
-            raise DamagedStore(f"{self.path}: its sealed purges cannot be read: {wrong}") from None
-        rows = list(self._rows(*self._start()))
-        return Loaded(
+            sealed = self.sealed_tables.read(hold, most_sealed)
+        except sqlite3.DatabaseError as error:
+            raise DamagedStore(f"{self.path}: its sealed purges cannot be read: {error}") from None
+        rows = list(self._rows(*self._sealed_end()))
+        return LoadedPurges(
             self._fact("epoch"),
             self._fact("floor"),
             rows,
-            self.file.execute("SELECT name, generation FROM members ORDER BY name").fetchall(),
-            part,
+            self.connection.execute("SELECT name, generation FROM members ORDER BY name").fetchall(),
+            sealed,
         )
 
-    def _start(self):
-        """(number behind which rows are not sealed, the seal of that row)."""
+    def _sealed_end(self):
+        """Returns (number of the last purge that is sealed or removed, its hash)."""
         floor = self._fact("floor"), self._fact("floor seal")
-        return max(floor, self.sealing.reached(), key=lambda place: place[0])
+        return max(floor, self.sealed_tables.sealed_through(), key=lambda end: end[0])
 
-    def _rows(self, n, before):
-        """The rows behind that number, each checked. before: the seal of that number's."""
+    def _rows(self, number, previous_hash):
+        """Yields the verified rows after that number. previous_hash: of the row of that number."""
         try:
-            found = self.file.execute(
-                "SELECT epoch, n, made, sort, what, key, seal FROM purges WHERE n > ? ORDER BY n", (n,)
+            cursor = self.connection.execute(
+                "SELECT epoch, n, made, sort, what, key, seal FROM purges WHERE n > ? ORDER BY n", (number,)
             )
-            while batch := found.fetchmany(ROWS):
-                for epoch, number, timestamp, kind, what, key, told in batch:
-                    n += 1
-                    purge = Purge(epoch, number, timestamp, kind, what)
-                    before = self._checked(before, purge, key, told, n)
+            while batch := cursor.fetchmany(ROWS_PER_FETCH):
+                for epoch, row_number, timestamp, kind, what, key, stored_hash in batch:
+                    number += 1
+                    purge = Purge(epoch, row_number, timestamp, kind, what)
+                    previous_hash = self._checked(previous_hash, purge, key, stored_hash, number)
                     yield purge, key
-        except sqlite3.DatabaseError as wrong:
-            raise DamagedStore(f"{self.path}: purge {n + 1} cannot be read: {wrong}", n + 1) from None
-        self.last = before
-
-    def _checked(self, before, purge, key, told, n):
-        if purge.n != n:
-            raise DamagedStore(f"{self.path}: purge {n} is missing, {purge.n} follows", n)
+        except sqlite3.DatabaseError as error:
+            raise DamagedStore(
+                f"{self.path}: purge {number + 1} cannot be read: {error}", number + 1
+            ) from None
+        self.last_hash = previous_hash
+
+    def _checked(self, previous_hash, purge, key, stored_hash, number):
+        if purge.n != number:
+            raise DamagedStore(f"{self.path}: purge {number} is missing, {purge.n} follows", number)
         try:
-            whole = seal(before, purge, key) == told
+            is_intact = purge_hash(previous_hash, purge, key) == stored_hash
         except (struct.error, AttributeError, TypeError):
-            whole = False
-        if not whole:
-            raise DamagedStore(f"{self.path}: purge {n} is not as it was written", n)
-        return told
+            is_intact = False
+        if not is_intact:
+            raise DamagedStore(f"{self.path}: purge {number} is not as it was written", number)
+        return stored_hash
 
     def verify(self):
-        """(purges that are sound, what is wrong, a line each)."""
-        sound, wrong = 0, []
+        """Verifies the whole file; returns (count of intact purges, list of problems)."""
+        sound, problems = 0, []
         try:
-            wrong += [
+            problems += [
                 f"{self.path}: {row[0]}"
-                for row in self.file.execute("PRAGMA integrity_check(20)")
+                for row in self.connection.execute("PRAGMA integrity_check(20)")
                 if row[0] != "ok"
             ]
         except sqlite3.DatabaseError as error:
-            wrong.append(f"{self.path}: {error}")
+            problems.append(f"{self.path}: {error}")
         try:
             for _ in self._rows(self._fact("floor"), self._fact("floor seal")):
                 sound += 1
         except DamagedStore as error:
-            wrong.append(str(error))
+            problems.append(str(error))
         try:
-            self.sealing.read(DEFAULT_HOLD, MOST_SEALED)
+            self.sealed_tables.read(DEFAULT_HOLD, MOST_SEALED)
         except (DamagedStore, sqlite3.DatabaseError) as error:
-            wrong.append(str(error))
-        return sound, wrong
+            problems.append(str(error))
+        return sound, problems
 
-    # ---- written; each call is one transaction, on disk when it returns
+    # ---- writes: each call is one transaction, on disk on return
 
-    def begin(self, least):
-        """A new life: an epoch above the last one's and not below least."""
-        epoch = max(least, self._fact("epoch") + 1)
-        with transaction(self.file) as run:
-            run("UPDATE facts SET value = ? WHERE name = 'epoch'", (epoch,))
+    def begin_epoch(self, min_epoch):
+        """Begins and returns a new epoch, above the last and at least min_epoch."""
+        epoch = max(min_epoch, self._fact("epoch") + 1)
+        with transaction(self.connection) as execute:
+            execute("UPDATE facts SET value = ? WHERE name = 'epoch'", (epoch,))
         return epoch
 
     def append(self, batch):
-        """batch: (Purge, key) in order. sqlite3.Error: what is on disk has to be loaded again."""
-        before, rows = self.last, []
+        """Appends (Purge, key) in order. After sqlite3.Error, the store has to be loaded again."""
+        previous_hash, rows = self.last_hash, []
         for purge, key in batch:
-            before = seal(before, purge, key)
-            rows.append((*purge, key, before))
-        with transaction(self.file):
-            self.file.executemany(INSERT, rows)
-        self.last = before
-
-    def fold(self, upto):
-        """Folds away all up to this number: its seal goes on standing for them."""
-        with transaction(self.file):
-            self._step_sweep(upto)
-
-    def seal_some(self, terms, most):
-        """Adds up to so many of the oldest rows to the sealed part; how many. terms: a purge_slices.Terms."""
-        start, before = self._start()
+            previous_hash = purge_hash(previous_hash, purge, key)
+            rows.append((*purge, key, previous_hash))
+        with transaction(self.connection):
+            self.connection.executemany(INSERT, rows)
+        self.last_hash = previous_hash
+
+    def truncate(self, up_to):
+        """Removes the purges up to and including this number; keeps the last hash, on which the chain
+        continues.
+        """
+        with transaction(self.connection):
+            self._step_sweep(up_to)
+
+    def seal_batch(self, terms, limit):
+        """Adds up to limit of the oldest rows to the sealed part; returns the count. terms: SealingTerms."""
+        start, previous_hash = self._sealed_end()
         newest = self.position()[0]
-        upto = min(start + most, newest - terms.keep)
-        if upto <= start:
+        up_to = min(start + limit, newest - terms.min_unsealed)
+        if up_to <= start:
             return 0
-        with transaction(self.file) as run:
-            (clock,) = run("SELECT made FROM purges WHERE n = ?", (newest,)).fetchone()
-            found = run(
+        with transaction(self.connection) as execute:
+            (clock,) = execute("SELECT made FROM purges WHERE n = ?", (newest,)).fetchone()
+            stored_rows = execute(
                 "SELECT epoch, n, made, sort, what, key, seal FROM purges WHERE n > ? AND n <= ? ORDER BY n",
-                (start, upto),
+                (start, up_to),
             ).fetchall()
             rows = []
-            for n, (*fields, key, told) in enumerate(found, start + 1):
-                before = self._checked(before, Purge(*fields), key, told, n)
-                rows.append((Purge(*fields), told))
-            self.sealing.extend(rows, clock, terms)
+            for number, (*fields, key, stored_hash) in enumerate(stored_rows, start + 1):
+                previous_hash = self._checked(previous_hash, Purge(*fields), key, stored_hash, number)
+                rows.append((Purge(*fields), stored_hash))
+            self.sealed_tables.extend(rows, clock, terms)
         return len(rows)
 
     def update_followers(self, joined, left):
-        """joined: (name, generation); left: names."""
-        with transaction(self.file):
+        """joined: (name, generation) of followers to be added; left: names of followers to be removed."""
+        with transaction(self.connection):
             self._step_names(joined, left)
--- a/hookrouter/stores/purge_slices.py
+++ b/hookrouter/stores/purge_slices.py
@@ -1,9 +1,9 @@
-"""The sealed part of a store of purges: what a desk starts from without reading a whole hold of rows.
+"""The sealed part of a store of purges: with it a desk starts without reading all rows within the hold.
 
-Rows that are old enough are added to slices by time (purges/retention/archive.py); those of kinds that cannot
-be sealed are copied to a table of their own, the newest of each name. The rows stay until the hold is over,
-for keepers that lack some and for `purges verify`. A step is one transaction: after a kill the sealed part is
-as before it or as after it. One digest over all of it is checked whenever it is read.
+Old rows are added to slices by time (purges/retention/archive.py). Of kinds that cannot be sealed, the newest
+row of each name is copied to the table exact. The rows themselves stay until the hold is over, for keepers
+that lack some and for `purges verify`. A step is one transaction, so a kill leaves the sealed part as before
+or after it. One digest over the whole part is verified whenever it is read.
 """
 
 import json
@@ -19,7 +19,7 @@
 from ..purges.tail import MOST_FIRSTS
 from ..purges.types import SEALABLE_KINDS, Purge
 from ..tables.hash_chain import INITIAL_HASH
-from .sqlite import fact
+from .sqlite import read_fact
 
 DIGEST_BYTES = 16
 
@@ -29,63 +29,66 @@
 CREATE TABLE exact (kind TEXT NOT NULL, what TEXT NOT NULL, epoch INTEGER NOT NULL, n INTEGER NOT NULL,
                     made INTEGER NOT NULL, PRIMARY KEY (kind, what)) WITHOUT ROWID;
 """
-SEALED, SEALED_SEAL, FIRSTS, SEALED_DIGEST = "sealed", "sealed seal", "firsts", "sealed digest"  # facts
+# Names of facts.
+SEALED, SEALED_HASH, FIRSTS, SEALED_DIGEST = "sealed", "sealed seal", "firsts", "sealed digest"
 
 
-class Terms(NamedTuple):
-    """How rows are sealed. hold, most_sealed: as in PurgeTerms; keep: newest rows that are left out."""
+class SealingTerms(NamedTuple):
+    """Parameters of sealing. hold, most_sealed: as in PurgeTerms; min_unsealed: newest rows left unsealed."""
 
     hold: int
     most_sealed: int
-    keep: int
+    min_unsealed: int
 
 
 class SealedPart(NamedTuple):
-    """What the sealed part holds: all rows up to number n."""
+    """The contents of the sealed part: all rows up to and including number `through`."""
 
-    n: int
+    through: int
     archive: Archive
     exact: list[Purge]
-    firsts: list[tuple[int, int]]  # (n of its first row, epoch), of epochs that have rows up to n
+    firsts: list[tuple[int, int]]  # (number of its first row, epoch) of each epoch with rows in this part
 
 
-class Sealing:
-    """Reads and extends the sealed part of one open file."""
+class SealedTables:
+    """Reads and extends the sealed part of an open file."""
 
-    def __init__(self, file: sqlite3.Connection, path: str) -> None:
-        """file: of a store that has the tables."""
-        self._file, self._path = file, path
+    def __init__(self, connection: sqlite3.Connection, path: str) -> None:
+        """connection: of a store with the tables of SCHEMA."""
+        self._connection, self._path = connection, path
 
     def create(self) -> None:
-        """Facts of an empty part; within a transaction."""
-        for name, value in ((SEALED, 0), (SEALED_SEAL, INITIAL_HASH), (FIRSTS, "[]")):
-            self._set(name, value)
-        self._set(SEALED_DIGEST, self._digest())
+        """Writes the facts of an empty part; within a transaction."""
+        for name, value in ((SEALED, 0), (SEALED_HASH, INITIAL_HASH), (FIRSTS, "[]")):
+            self._write_fact(name, value)
+        self._write_fact(SEALED_DIGEST, self._digest())
 
-    def reached(self) -> tuple[int, bytes]:
-        """(number up to which rows are sealed, the seal of that row)."""
-        return self._fact(SEALED), self._fact(SEALED_SEAL)
+    def sealed_through(self) -> tuple[int, bytes]:
+        """Returns (number of the last sealed row, its hash)."""
+        return self._fact(SEALED), self._fact(SEALED_HASH)
 
     def read(self, hold: int, most_sealed: int) -> SealedPart:
-        """All of it; DamagedStore names what was corrupted. hold, most_sealed: as in PurgeTerms."""
-        n, _ = self.reached()
+        """Reads the sealed part; raises DamagedStore if corrupted. hold, most_sealed: as in PurgeTerms."""
+        through, _ = self.sealed_through()
         if self._digest() != self._fact(SEALED_DIGEST):
-            raise DamagedStore(f"{self._path}: its sealed purges, up to {n}, are not as they were written")
+            raise DamagedStore(
+                f"{self._path}: its sealed purges, up to {through}, are not as they were written"
+            )
         archive = Archive(hold, most_sealed)
-        for digest, body in self._file.execute("SELECT digest, body FROM slices ORDER BY span, kind"):
-            archive.merge(self._decoded(digest, body))
+        for digest, body in self._connection.execute("SELECT digest, body FROM slices ORDER BY span, kind"):
+            archive.merge(self._decode(digest, body))
         exact = [
             Purge(epoch, n, made, kind, what)
-            for kind, what, epoch, n, made in self._file.execute(
+            for kind, what, epoch, n, made in self._connection.execute(
                 "SELECT kind, what, epoch, n, made FROM exact ORDER BY made, n"
             )
         ]
         firsts = [tuple(row) for row in json.loads(self._fact(FIRSTS))]
-        return SealedPart(n, archive, exact, firsts)
+        return SealedPart(through, archive, exact, firsts)
 
-    def extend(self, rows: list[tuple[Purge, bytes]], newest_timestamp: int, terms: Terms) -> None:
-        """Takes in the next rows, each with its seal, and drops what is older than the hold; within a
-        transaction. newest_timestamp: of the newest row of the store, the clock that the hold is counted by.
+    def extend(self, rows: list[tuple[Purge, bytes]], newest_timestamp: int, terms: SealingTerms) -> None:
+        """Adds the next rows, each with its hash, and deletes what is older than the hold; within a
+        transaction. newest_timestamp: of the newest row of the store, from which the hold is counted back.
         """
         archive = Archive(terms.hold, terms.most_sealed)
         firsts = json.loads(self._fact(FIRSTS))
@@ -93,68 +96,68 @@
             if not firsts or firsts[-1][1] != purge.epoch:
                 firsts.append((purge.n, purge.epoch))
             if purge.kind in SEALABLE_KINDS:
-                self._open(archive, archive.key_of(purge))
+                self._load_slice(archive, archive.key_of(purge))
                 archive.add(purge)
             else:
-                self._keep(purge)
-        for one in archive.live():
-            self._write(slice_codec.encode(one.state()))
-        self._drop(newest_timestamp - terms.hold)
+                self._store_exact(purge)
+        for live_slice in archive.live():
+            self._write(slice_codec.encode(live_slice.state()))
+        self._delete_older(newest_timestamp - terms.hold)
         if rows:
-            self._set(SEALED, rows[-1][0].n)
-            self._set(SEALED_SEAL, rows[-1][1])
-        self._set(FIRSTS, json.dumps(firsts[-MOST_FIRSTS:]))
-        self._set(SEALED_DIGEST, self._digest())
+            self._write_fact(SEALED, rows[-1][0].n)
+            self._write_fact(SEALED_HASH, rows[-1][1])
+        self._write_fact(FIRSTS, json.dumps(firsts[-MOST_FIRSTS:]))
+        self._write_fact(SEALED_DIGEST, self._digest())
 
     # ---- the tables
 
-    def _open(self, archive: Archive, key: SliceKey) -> None:
-        """The slice as it is stored, where it is not in the archive yet."""
+    def _load_slice(self, archive: Archive, key: SliceKey) -> None:
+        """Loads a stored slice into the archive unless it is there already."""
         if key in archive.slices:
             return
-        row = self._file.execute(
+        row = self._connection.execute(
             "SELECT digest, body FROM slices WHERE kind = ? AND span = ?", key
         ).fetchone()
         if row is not None:
-            archive.merge(self._decoded(*row))
+            archive.merge(self._decode(*row))
 
-    def _decoded(self, digest: str, body: bytes) -> SliceState:
+    def _decode(self, digest: str, body: bytes) -> SliceState:
         try:
             return slice_codec.decode(body, digest)
-        except MalformedSlice as wrong:
-            raise DamagedStore(f"{self._path}: a slice of sealed purges is damaged: {wrong}") from None
+        except MalformedSlice as error:
+            raise DamagedStore(f"{self._path}: a slice of sealed purges is damaged: {error}") from None
 
     def _write(self, encoded: slice_codec.Encoded) -> None:
         row = encoded.row
-        self._file.execute(
+        self._connection.execute(
             "INSERT OR REPLACE INTO slices VALUES (?, ?, ?, ?, ?)",
             (row.kind, row.span, row.bound, row.digest, encoded.body),
         )
 
-    def _keep(self, purge: Purge) -> None:
-        self._file.execute(
+    def _store_exact(self, purge: Purge) -> None:
+        self._connection.execute(
             "INSERT OR REPLACE INTO exact VALUES (?, ?, ?, ?, ?)",
             (purge.kind, purge.what, purge.epoch, purge.n, purge.timestamp),
         )
 
-    def _drop(self, before: int) -> None:
-        self._file.execute("DELETE FROM slices WHERE bound < ?", (before,))
-        self._file.execute("DELETE FROM exact WHERE made < ?", (before,))
+    def _delete_older(self, timestamp: int) -> None:
+        self._connection.execute("DELETE FROM slices WHERE bound < ?", (timestamp,))
+        self._connection.execute("DELETE FROM exact WHERE made < ?", (timestamp,))
 
     def _digest(self) -> bytes:
-        """Over all of the part; slices count by the digests of their bodies, which are checked by these."""
-        part = blake2b(digest_size=DIGEST_BYTES)
-        part.update(repr([self._fact(name) for name in (SEALED, SEALED_SEAL, FIRSTS)]).encode())
+        """Returns the digest of the whole part; slices enter by the digests of their bodies."""
+        digest = blake2b(digest_size=DIGEST_BYTES)
+        digest.update(repr([self._fact(name) for name in (SEALED, SEALED_HASH, FIRSTS)]).encode())
         for rows in self._tables():
-            part.update(repr(list(rows)).encode())
-        return part.digest()
+            digest.update(repr(list(rows)).encode())
+        return digest.digest()
 
     def _tables(self) -> Iterable[Iterable[tuple]]:
-        yield self._file.execute("SELECT kind, span, bound, digest FROM slices ORDER BY kind, span")
-        yield self._file.execute("SELECT kind, what, epoch, n, made FROM exact ORDER BY kind, what")
+        yield self._connection.execute("SELECT kind, span, bound, digest FROM slices ORDER BY kind, span")
+        yield self._connection.execute("SELECT kind, what, epoch, n, made FROM exact ORDER BY kind, what")
 
     def _fact(self, name: str) -> object:
-        return fact(self._file, self._path, name)
+        return read_fact(self._connection, self._path, name)
 
-    def _set(self, name: str, value: object) -> None:
-        self._file.execute("INSERT OR REPLACE INTO facts VALUES (?, ?)", (name, value))
+    def _write_fact(self, name: str, value: object) -> None:
+        self._connection.execute("INSERT OR REPLACE INTO facts VALUES (?, ?)", (name, value))
