--- a/benchmarks/admission/processes.py
+++ b/benchmarks/admission/processes.py
@@ -3,7 +3,7 @@
 import tempfile
 import time
 
-from standins.storm import Storm
+from standins.purge_rig import PurgeRig
 
 FILL = 10_000  # purges that are live: a snapshot of some hundred kilobytes
 WITHIN = 60  # seconds until all are back
@@ -11,22 +11,22 @@
 
 def returned(count, paced):
     """Figures of one restart of a desk that was killed."""
-    with tempfile.TemporaryDirectory() as folder, Storm(folder, paced) as storm:
-        desk = storm.desk()
-        storm.fill(FILL)
-        histories = [storm.followers(count // 4, forget=0.5, prefix=prefix) for prefix in "abcd"]
-        storm.all_up(histories, count, WITHIN)
-        storm.purge_on(0.5)
+    with tempfile.TemporaryDirectory() as folder, PurgeRig(folder, paced) as purge_rig:
+        desk = purge_rig.start_desk()
+        purge_rig.submit_many(FILL)
+        histories = [purge_rig.start_followers(count // 4, forget=0.5, prefix=prefix) for prefix in "abcd"]
+        purge_rig.wait_connected(histories, count, WITHIN)
+        purge_rig.start_purges(0.5)
         time.sleep(1)
-        storm.kill(desk)
+        purge_rig.kill(desk)
         time.sleep(0.3)
-        storm.desk()
+        purge_rig.start_desk()
         began = time.time() * 1_000
-        took = storm.all_up(histories, count, WITHIN, began) - began
-        facts = storm.status().get("admission")
+        took = purge_rig.wait_connected(histories, count, WITHIN, began) - began
+        facts = purge_rig.status().get("admission")
         time.sleep(2.5)  # a lease and a little: what was purged meanwhile is in effect
-        storm.over()
-        late = len(storm.late(histories))
+        purge_rig.stop_purges()
+        late = len(purge_rig.stale_answers(histories))
         return took / 1_000, None if facts is None else facts["took_ms"] / 1_000, late
 
 
--- a/benchmarks/capacity/measure_costs.py
+++ b/benchmarks/capacity/measure_costs.py
@@ -182,7 +182,7 @@
     points, seen = [], 0
     with Crowd(folder, 1, 8) as crowd:
         crowd.ready()
-        process = crowd.processes.held[crowd.routers[0]].pid
+        process = crowd.processes.by_name[crowd.routers[0]].pid
         for rate in SERVED_RATES:
             before = cpu(process)
             rows = crowd.load.run(SERVED_SECONDS, float(rate))["lookups"]
--- a/benchmarks/owners/campaign.py
+++ b/benchmarks/owners/campaign.py
@@ -36,8 +36,8 @@
             rig.wait(lambda: len(rig.owners()) == len(DUTIES))
             # First what was noted, then what was done: the work goes on meanwhile.
             noted = {duty: row["step"] for duty, row in rig.owners().items()}
-            broken = rig.wrong()
-            rows = rig.taken()
+            broken = rig.audit_violations()
+            rows = rig.audit_rows()
             steps = {
                 duty: max((r["step"] for r in rows if r["duty"] == duty and r["ok"]), default=0)
                 for duty in DUTIES
@@ -67,12 +67,16 @@
 
 
 def carried(rig):
-    return sum(link.bytes for link in rig.links.values()) + rig.exchange.bytes
+    return sum(link.bytes for link in rig.links.values()) + rig.datagram_proxy.bytes
 
 
 def first_after(rig, duty, number):
     return next(
-        (row["at"] for row in rig.taken() if row["duty"] == duty and row["ok"] and row["number"] > number),
+        (
+            row["at"]
+            for row in rig.audit_rows()
+            if row["duty"] == duty and row["ok"] and row["number"] > number
+        ),
         None,
     )
 
@@ -84,13 +88,13 @@
     number, began = rig.owners()[duty]["number"], time.monotonic()
     if fault == "disk" and owner not in rig.keepers:
         fault = "kill"
-    rig.strike(owner, fault)
+    rig.inject_fault(owner, fault)
     if fault == "disk":
         time.sleep(1)
     if fault != "disk":  # a keeper without a disk still bears duties that need none of it
         rig.wait(lambda: first_after(rig, duty, number), WITHIN)
     since = first_after(rig, duty, number)
-    rig.mend(owner, fault)
+    rig.clear_fault(owner, fault)
     rig.wait(lambda: rig.status()["leader"])
     return since - began if since is not None and fault != "disk" else None
 
@@ -102,7 +106,7 @@
         return []
     since = rig.wait(lambda: first_after(rig, duty, row["number"]), 5)
     last = max(
-        (r["at"] for r in rig.taken() if r["duty"] == duty and r["ok"] and r["number"] == row["number"]),
+        (r["at"] for r in rig.audit_rows() if r["duty"] == duty and r["ok"] and r["number"] == row["number"]),
         default=None,
     )
     return [since - last] if since and last else []
--- a/benchmarks/replicas/campaign.py
+++ b/benchmarks/replicas/campaign.py
@@ -29,9 +29,9 @@
         rig.start(name)
         return None
     began = time.monotonic()
-    rig.strike(owner, fault)
+    rig.inject_fault(owner, fault)
     time.sleep(span)
-    rig.mend(owner, fault)
+    rig.clear_fault(owner, fault)
     return began if fault == "kill" else None
 
 
--- a/benchmarks/replicas/clients.py
+++ b/benchmarks/replicas/clients.py
@@ -55,7 +55,7 @@
     def __init__(self, rig, count, dice):
         self.rig, self.over, self.lock = rig, False, threading.Lock()
         self.calls, self.accepted, self.wrong = [], {}, []
-        addresses = [("127.0.0.1", port) for port in rig.desks.values()]
+        addresses = [("127.0.0.1", port) for port in rig.desk_ports.values()]
         self.threads = [
             threading.Thread(target=self._submits, args=(n, Client(addresses, n), Random(dice.random())))
             for n in range(count)
--- a/benchmarks/replicas/costs.py
+++ b/benchmarks/replicas/costs.py
@@ -59,7 +59,7 @@
         try:
             rig.start()
             owner = rig.wait(lambda: holder(rig, "purges"))
-            client = Client([("127.0.0.1", rig.desks[owner])])
+            client = Client([("127.0.0.1", rig.desk_ports[owner])])
             client.submit("first", "first")
             three = commits(client, count)
             lead = rig.status()["leader"]
--- a/benchmarks/scale/session.py
+++ b/benchmarks/scale/session.py
@@ -78,7 +78,7 @@
     back: dict[str, float | None] = field(default_factory=dict)  # scene -> seconds, None: not in time
     ended_by: str | None = None  # what kept it from a further size
     unfenced: int = 0  # routers that held a lease while their region was cut off
-    crowd_breaks: list[str] = field(default_factory=list)  # rules of lookups, see standins/crowd/checks.py
+    crowd_breaks: list[str] = field(default_factory=list)  # rules of lookups, see standins/crowd/verdict.py
 
     def late(self) -> bool:
         """Whether the budget is spent."""
@@ -196,7 +196,7 @@
     session.ask_for_unlisted()
     crowd.read()
     crowd.load.wait()
-    session.crowd_breaks = crowd.verdict(LOOKUP_SLACK).broken
+    session.crowd_breaks = crowd.verdict(LOOKUP_SLACK).violations
     answers = [
         Answer(asked, router, name, made)
         for asked, router, _, how, _, made, name in crowd.load.table()["lookups"]
--- a/benchmarks/scale/snapshot.py
+++ b/benchmarks/scale/snapshot.py
@@ -42,7 +42,7 @@
     """Of keepers, relays and real routers; the sockets of keepers and relays alone are told apart by kind."""
     processes = crowd.processes
     alive = processes.alive()
-    cpu = {name: cpu_seconds(processes.held[name].pid) for name in alive}
+    cpu = {name: cpu_seconds(processes.by_name[name].pid) for name in alive}
     memory = {name: value * 1_000 / 1_024 for name, value in processes.memory().items()}
     carried = {each.inode: each for each in connections()}
     return Snapshot(time.time(), cpu, memory, *machine_seconds(), carried, _kinds(crowd, carried))
@@ -85,7 +85,7 @@
 
 def _kinds(crowd: RegionCrowd, carried: dict[int, Connection]) -> dict[int, tuple[str, str]]:
     links = _ports(carried, (remote.process.pid for remote in crowd.region_links.values()))
-    held = {name: inodes(crowd.processes.held[name].pid) for name in crowd.keepers}
+    held = {name: inodes(crowd.processes.by_name[name].pid) for name in crowd.keepers}
     keepers = {carried[inode].local_port for found in held.values() for inode in found if inode in carried}
     kinds = {}
     for name, found in held.items():
@@ -95,8 +95,8 @@
             if kind is not None:
                 kinds[inode] = name, kind
     for name in (*crowd.layout.top_relays, *crowd.layout.zone_relays):
-        if name in crowd.processes.held:
-            for inode in inodes(crowd.processes.held[name].pid) & carried.keys():
+        if name in crowd.processes.by_name:
+            for inode in inodes(crowd.processes.by_name[name].pid) & carried.keys():
                 kinds[inode] = name, PURGE_FEED
     return kinds
 
--- a/benchmarks/spread/processes.py
+++ b/benchmarks/spread/processes.py
@@ -72,12 +72,12 @@
     return {
         "ready": ready,
         "ready_after": began - start,
-        "rule_breaks": len(verdict.broken),
+        "rule_breaks": len(verdict.violations),
         "peak": peak,
         "idle": idle,
         "served": share(verdict.lookups, start, start + calm),
         "spreads": spreads,
         "served_faults": share(verdict.lookups, start + calm, start + calm + faults),
         "falls": sum(len(row["falls"]) for row in tables),
-        "broken": verdict.broken[:3],
+        "broken": verdict.violations[:3],
     }
--- a/benchmarks/view/bench.py
+++ b/benchmarks/view/bench.py
@@ -185,9 +185,9 @@
                 rig.start(victim)
                 joins.append(agree(rig, rig.names))
                 half = rig.names[::2]
-                rig.exchange.split(half, [name for name in rig.names if name not in half])
+                rig.datagram_proxy.split(half, [name for name in rig.names if name not in half])
                 time.sleep(6)
-                rig.exchange.heal()
+                rig.datagram_proxy.heal()
                 heals.append(agree(rig, rig.names))
         finally:
             rig.stop()
--- a/standins/crowd/__main__.py
+++ b/standins/crowd/__main__.py
@@ -50,12 +50,12 @@
             crowd.load.wait(given.seconds + 30)
             if given.fleet:
                 figures["carried_bytes"] = sum(crowd.links.carried()["bytes"].values())
-            figures.update((f"cpu_{what}_s", round(value, 1)) for what, value in crowd.worked().items())
+            figures.update((f"cpu_{what}_s", round(value, 1)) for what, value in crowd.cpu_seconds().items())
             verdict = crowd.verdict()
     figures.update(verdict.summary())
     for name, value in figures.items():
         print(f"{name:16} {value}")
-    for line in verdict.broken:
+    for line in verdict.violations:
         print(f"BROKEN  {line}")
     print(json.dumps(figures))
 
--- a/standins/crowd/door.py
+++ b/standins/crowd/cache_server.py
@@ -4,8 +4,8 @@
 import socket
 
 from . import objects
+from .cache_work import CacheRequest
 from .caches import DOWN
-from .work import Ask
 
 HEADS = {
     200: b"HTTP/1.1 200 OK\r\n",
@@ -21,25 +21,25 @@
 
 
 class Connection(asyncio.Protocol):
-    def __init__(self, door):
-        self.door, self.buffer, self.job, self.at = door, b"", None, 0.0
+    def __init__(self, server):
+        self.server, self.buffer, self.job, self.last_active = server, b"", None, 0.0
         self.transport = None
 
     def connection_made(self, transport):
         self.transport = transport
-        self.at = self.door.loop.time()
-        self.door.connections.add(self)
-        if self.door.cache.state == "vanished":
+        self.last_active = self.server.loop.time()
+        self.server.connections.add(self)
+        if self.server.cache.state == "vanished":
             transport.pause_reading()
 
     def connection_lost(self, reason):
-        self.door.connections.discard(self)
+        self.server.connections.discard(self)
         if self.job is not None:
             self.job.give_up()
             self.job = None
 
     def data_received(self, data):
-        self.at = self.door.loop.time()
+        self.last_active = self.server.loop.time()
         self.buffer = self.buffer + data if self.buffer else data
         end = self.buffer.find(b"\r\n\r\n")
         if end < 0 or self.job is not None:
@@ -58,32 +58,34 @@
         self._asked(lines[0].split(" ")[1], fields)
 
     def _asked(self, target, fields):
-        cache, words = self.door.cache, target.split("/")
+        cache, words = self.server.cache, target.split("/")
         if target in ("/ping", "/busy"):
             if cache.state == "up":
                 self._write(200, (f"X-Stats: {cache.load()}",) if target == "/busy" else ())
             return
         try:
-            ask = Ask(words[2], words[3], int(words[4]), fields["x-trace"], fields)
-            objects.KINDS[ask.kind]
+            request = CacheRequest(words[2], words[3], int(words[4]), fields["x-trace"], fields)
+            objects.KINDS[request.kind]
         except (LookupError, ValueError):
-            self.door.void.append(target)
+            self.server.void.append(target)
             self._write(500)
             return
-        if ask.source is not None and ask.source not in cache.others:
-            self.door.void.append(f"{target} from {ask.source}")
-        self.job = job = cache.serve(ask, lambda status, made, note: self._answered(ask, status, made, note))
+        if request.source is not None and request.source not in cache.others:
+            self.server.void.append(f"{target} from {request.source}")
+        self.job = job = cache.serve(
+            request, lambda status, made, note: self._answered(request, status, made, note)
+        )
         if job.over:
             self.job = None
 
-    def _answered(self, ask, status, made, note):
+    def _answered(self, request, status, made, note):
         self.job = None
         if self.transport.is_closing():
             return
-        fields = [f"X-Stats: {self.door.cache.load()}"] if self.door.inline else []
+        fields = [f"X-Stats: {self.server.cache.load()}"] if self.server.inline else []
         body = b""
         if status == 200:
-            body = objects.body(ask.kind, ask.object, ask.part, made)
+            body = objects.body(request.kind, request.object, request.part, made)
             fields += (f"X-Rev: {made:x}", f"X-Since-Ms: {made}", f"X-Result: {note}")
         self._write(status, fields, body)
 
@@ -92,12 +94,18 @@
         self.transport.write(HEADS[status] + f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body)
 
 
-class Door:
+class CacheServer:
     """Owns the port, its connections and the cache behind it."""
 
     def __init__(self, cache, port, idle, inline):
         self.cache, self.port, self.idle, self.inline = cache, port, idle, inline
-        self.loop, self.connections, self.server, self.fillers, self.void = cache.loop, set(), None, [], []
+        self.loop, self.connections, self.server, self.backlog_fillers, self.void = (
+            cache.loop,
+            set(),
+            None,
+            [],
+            [],
+        )
         cache.fall_hook = self.fall
 
     async def open(self):
@@ -139,13 +147,13 @@
                 job.timer.cancel()
         listening = self.server.sockets[0]
         self.loop.remove_reader(listening.fileno())
-        self.fillers = []
+        self.backlog_fillers = []
         listening._sock.listen(0)
         for _ in range(3):
             filler = socket.socket()
             filler.setblocking(False)
             filler.connect_ex(("127.0.0.1", self.port))
-            self.fillers.append(filler)
+            self.backlog_fillers.append(filler)
 
     def hang(self):
         """What is out is never answered, nor is what comes."""
@@ -156,9 +164,9 @@
 
     async def heal(self):
         """What was open is reset; it goes on with its copies."""
-        for filler in self.fillers:
+        for filler in self.backlog_fillers:
             filler.close()
-        self.fillers = []
+        self.backlog_fillers = []
         self.shut()
         for job in list(self.cache.jobs):
             job.give_up()
@@ -170,5 +178,5 @@
         """Connections that were idle for too long end."""
         limit = self.loop.time() - self.idle
         for connection in list(self.connections):
-            if connection.job is None and connection.at < limit and self.cache.state == "up":
+            if connection.job is None and connection.last_active < limit and self.cache.state == "up":
                 connection.transport.close()
--- a/standins/crowd/work.py
+++ b/standins/crowd/cache_work.py
@@ -1,7 +1,7 @@
 """One lookup as a cache has it: what was asked, its time in work, and the fill that it waits for."""
 
 
-class Ask:
+class CacheRequest:
     """One lookup as it came; who: the router's number, from the first digits of its id."""
 
     __slots__ = (
--- a/standins/crowd/caches.py
+++ b/standins/crowd/caches.py
@@ -10,7 +10,7 @@
 from collections import OrderedDict, deque
 
 from . import objects
-from .work import Ask, Fill, Job
+from .cache_work import CacheRequest, Fill, Job
 
 SLOT = 100  # ms of one row of the table
 BASE = {"box": 0.002, "parent": 0.008, "origin": 0.03}  # seconds before the first byte
@@ -84,37 +84,37 @@
 
     # ---- one lookup
 
-    def serve(self, ask, done):
+    def serve(self, request, done):
         """Job, which the asker may give up."""
         at, job = now(), Job(self, done)
         row = self.row(at)
-        row["by"][ask.who] = row["by"].get(ask.who, 0) + 1
+        row["by"][request.who] = row["by"].get(request.who, 0) + 1
         row["out"] = max(row["out"], len(self.jobs))
         if self.leaving is not None and at > self.leaving + GRACE:
-            self.after_drain.append((round(at - self.leaving), ask.who, ask.filling, self.name))
+            self.after_drain.append((round(at - self.leaving), request.who, request.filling, self.name))
         if self.state == "down":
             job.after(MISS, 500)
         elif self.state in ("vanished", "hung"):
             pass  # nothing is ever said
-        elif self.cold(at) and self._pushed_over(at, ask, row):
+        elif self.cold(at) and self._pushed_over(at, request, row):
             job.give_up()
             self.fall_hook()
-        elif not self._number_holds(ask):
+        elif not self._number_holds(request):
             row["refused"] += 1
             job.after(MISS, 409)
         elif self.busy() > ROOM * self.able(at) + MORE:
             row["full"] += 1
             job.after(MISS, 503)
         else:
-            self._answer(at, ask, job, row)
+            self._answer(at, request, job, row)
         return job
 
-    def _pushed_over(self, at, ask, row):
+    def _pushed_over(self, at, request, row):
         """Whether it is too much for a cold cache: more than N + 3 root N + 3 of mean work in the time."""
         t, row["cold"] = self.terms, row["cold"] + 1
         multiple = t["parent_multiple"] if self.sort == "parent" else t["multiple"]
         start = max(at - t["fall_ms"], self.since)
-        self.late.append((at, objects.size(ask.object) / objects.MEAN, ask.who))
+        self.late.append((at, objects.size(request.object) / objects.MEAN, request.who))
         while self.late[0][0] <= start:
             self.late.popleft()
         allowed = multiple * self.able(start) * t["fall_ms"] / 1_000 / (objects.MEAN / objects.FLOW)
@@ -133,74 +133,74 @@
         )
         return True
 
-    def _number_holds(self, ask):
-        if ask.fence is None:
+    def _number_holds(self, request):
+        if request.fence is None:
             return True
-        name, _, number = ask.fence.rpartition(" ")
+        name, _, number = request.fence.rpartition(" ")
         if int(number) < self.fences.get(name, 0):
             return False
         self.fences[name] = int(number)
         return True
 
-    def _span(self, ask):
-        work = objects.size(ask.object) / objects.FLOW
+    def _span(self, request):
+        work = objects.size(request.object) / objects.FLOW
         return BASE[self.sort] + work * self.slow * max(1.0, self.busy() / max(0.1, self.able(now())))
 
-    def _answer(self, at, ask, job, row):
-        effect, written, *_ = objects.KINDS[ask.kind]
+    def _answer(self, at, request, job, row):
+        effect, written, *_ = objects.KINDS[request.kind]
         if written or self.sort == "origin":
             if effect != "free":
-                self.effects.append((ask.key or ask.trace, effect, round(at), self.name))
-            job.after(self._span(ask), 200, int(at), "via_origin")
+                self.effects.append((request.key or request.trace, effect, round(at), self.name))
+            job.after(self._span(request), 200, int(at), "via_origin")
             return
-        place = ask.kind, ask.object, ask.part
+        place = request.kind, request.object, request.part
         made = self.copies.get(place)
-        limit = ask.limit or objects.KINDS[ask.kind][3]
+        limit = request.limit or objects.KINDS[request.kind][3]
         if made is not None and (limit == 0 or at - made <= limit):
             row["hits"] += 1
-            row["purged"] += self._purged(ask.object, made)
+            row["purged"] += self._purged(request.object, made)
             self.copies.move_to_end(place)
-            job.after(self._span(ask), 200, made, "hit")
-        elif ask.source is None:
+            job.after(self._span(request), 200, made, "hit")
+        elif request.source is None:
             job.after(MISS, 404)
         else:
-            self._fill(ask, job, place, row)
+            self._fill(request, job, place, row)
 
     # ---- fills
 
-    def _fill(self, ask, job, place, row):
+    def _fill(self, request, job, place, row):
         fill = self.fills.get(place)
-        if fill is None or "join" not in ask.words:
+        if fill is None or "join" not in request.words:
             fill = Fill(self, place)
             fill.join(job)
-            source = self.others.get(ask.source)
-            row["fills"][ask.source] = row["fills"].get(ask.source, 0) + 1
+            source = self.others.get(request.source)
+            row["fills"][request.source] = row["fills"].get(request.source, 0) + 1
             if source is None or source.state == "gone":
                 job.after(MISS, 500)
                 return
             self.fills[place] = fill
-            further = None if source.sort == "origin" or "held" in ask.words else self.terms["origin"]
-            asked = Ask(
-                ask.kind,
-                ask.object,
-                ask.part,
-                ask.trace,
+            further = None if source.sort == "origin" or "held" in request.words else self.terms["origin"]
+            asked = CacheRequest(
+                request.kind,
+                request.object,
+                request.part,
+                request.trace,
                 {
                     "x-do": "join",
-                    "x-patience": int(ask.patience * 1_000),
-                    "x-stale-limit": ask.limit,
+                    "x-patience": int(request.patience * 1_000),
+                    "x-stale-limit": request.limit,
                     **({"x-origin-pick": further} if further else {}),
                 },
                 True,
             )
-            fill.job = source.serve(asked, lambda *got: self._filled(fill, ask, source, *got))
+            fill.job = source.serve(asked, lambda *got: self._filled(fill, request, source, *got))
         else:
             fill.join(job)
 
-    def _filled(self, fill, ask, source, status, made, note):
+    def _filled(self, fill, request, source, status, made, note):
         if self.fills.get(fill.place) is fill:
             del self.fills[fill.place]
-        if status == 200 and not ("nocopy" in ask.words and self.sort == "parent"):
+        if status == 200 and not ("nocopy" in request.words and self.sort == "parent"):
             self.keep(fill.place, made)
         waiting, fill.waiting = fill.waiting, []
         self.idle -= len(waiting)
--- a/standins/crowd/clients.py
+++ b/standins/crowd/clients.py
@@ -12,8 +12,8 @@
 from itertools import accumulate
 
 from . import objects
+from .client_connection import Connection
 from .remote import main
-from .talk import Connection
 
 BEAT = 0.005  # seconds between looks for arrivals that are due
 LATE = 0.55  # seconds after its time at which a lookup counts as lost, if not told otherwise
--- a/standins/crowd/crowd.py
+++ b/standins/crowd/crowd.py
@@ -3,12 +3,12 @@
 import signal
 import time
 
-from .checks import SLACK, Verdict
-from .handles import Caches, Calls, Load
+from .handles import Caches, Load, RemoteCommands
 from .layout import KEEPERS, Layout
 from .processes import Processes, cpu
 from .remote import Remote
 from .settings import TIMES
+from .verdict import SLACK, Verdict
 
 IDLE = 8.0  # seconds after which a cache closes an idle connection: two more than routers keep one
 
@@ -69,7 +69,7 @@
         lay = self.layout
         self.caches = self._caches()
         if self.members and not lay.direct:
-            self.links = Calls(self._remote("relay", {**lay.links(), "seed": self.seed}))
+            self.links = RemoteCommands(self._remote("relay", {**lay.links(), "seed": self.seed}))
         lay.write()
         begun = time.monotonic()
         self.start(*self.keepers)
@@ -110,7 +110,7 @@
     def start(self, *names):
         self.processes.start(names)
         if self.links is not None:
-            self.links.pids(of={name: self.processes.held[name].pid for name in names})
+            self.links.pids(of={name: self.processes.by_name[name].pid for name in names})
 
     def kill(self, *names):
         self.processes.kill(names)
@@ -133,10 +133,10 @@
             time.sleep(0.05)
         return True
 
-    def worked(self):
+    def cpu_seconds(self):
         """Seconds of processor time so far: of all routers and keepers that live, and of each stand-in."""
         return {
-            "program": sum(cpu(self.processes.held[name].pid) for name in self.processes.alive()),
+            "program": sum(cpu(self.processes.by_name[name].pid) for name in self.processes.alive()),
             **{remote.module: cpu(remote.process.pid) for remote in self.remotes},
         }
 
@@ -144,6 +144,6 @@
         return self.processes.counters(names or self.routers)
 
     def verdict(self, slack=SLACK):
-        """What came of it so far, and the rules that it broke: see checks.py."""
+        """What came of it so far, and the rules that it broke: see verdict.py."""
         tables = self.load.table(), self.caches.tables(), self.caches.told()
-        return Verdict(*tables, self.processes.struck, slack)
+        return Verdict(*tables, self.processes.events, slack)
--- a/standins/crowd/handles.py
+++ b/standins/crowd/handles.py
@@ -4,7 +4,7 @@
 import time
 
 
-class Calls:
+class RemoteCommands:
     """A stand-in in its process, its commands as methods."""
 
     def __init__(self, remote):
@@ -31,7 +31,7 @@
         return dict(zip(keys.get(name, ("name",)), words))
 
 
-class Caches(Calls):
+class Caches(RemoteCommands):
     def __init__(self, remote, folder):
         super().__init__(remote)
         self.folder = folder
@@ -51,7 +51,7 @@
         return rows
 
 
-class Load(Calls):
+class Load(RemoteCommands):
     def __init__(self, remote, folder):
         super().__init__(remote)
         self.folder = folder
--- a/standins/crowd/processes.py
+++ b/standins/crowd/processes.py
@@ -44,7 +44,7 @@
 
     def __init__(self, folder, words, environment, port, program):
         self.folder, self.words, self.environment, self.port = folder, words, environment, port
-        self.program, self.held, self.struck, self.took = program, {}, [], {}
+        self.program, self.by_name, self.events, self.ready_seconds = program, {}, [], {}
 
     def start(self, names):
         """As many at a time as there are cores to start them; RuntimeError where one ends."""
@@ -55,11 +55,11 @@
                 begun[name] = time.monotonic()
                 self._start(name)
             for name, since in list(begun.items()):
-                if self.held[name].poll() is not None:
+                if self.by_name[name].poll() is not None:
                     raise RuntimeError(f"{name} has ended: {self.log(name)[-500:]}")
                 port = self.port(name)
                 if port is None or checked(port):
-                    self.took[name] = time.monotonic() - since
+                    self.ready_seconds[name] = time.monotonic() - since
                     del begun[name]
                 elif time.monotonic() > since + 60:
                     raise RuntimeError(f"{name} is not ready after 60 s: {self.log(name)[-500:]}")
@@ -67,7 +67,7 @@
 
     def _start(self, name):
         with open(self.folder / f"{name}.log", "ab") as out:
-            self.held[name] = subprocess.Popen(
+            self.by_name[name] = subprocess.Popen(
                 [sys.executable, "-m", *self.program(name), *self.words(name)],
                 cwd=ROOT,
                 stdout=out,
@@ -75,25 +75,25 @@
                 stdin=subprocess.DEVNULL,
                 env={**os.environ, "PYTHONUNBUFFERED": "1", **self.environment(name)},
             )
-        self.struck.append((time.time(), "start", name))
+        self.events.append((time.time(), "start", name))
 
     def signal(self, names, number, what):
         for name in names:
-            self.struck.append((time.time(), what, name))
-            self.held[name].send_signal(number)
+            self.events.append((time.time(), what, name))
+            self.by_name[name].send_signal(number)
 
     def kill(self, names):
         self.signal(names, signal.SIGKILL, "kill")
         for name in names:
-            self.held[name].wait()
+            self.by_name[name].wait()
 
     def term(self, names):
         """As at a planned restart; returns exit codes."""
         self.signal(names, signal.SIGTERM, "term")
-        return {name: self.held[name].wait(END_WITHIN) for name in names}
+        return {name: self.by_name[name].wait(END_WITHIN) for name in names}
 
     def alive(self):
-        return [name for name, process in self.held.items() if process.poll() is None]
+        return [name for name, process in self.by_name.items() if process.poll() is None]
 
     def log(self, name):
         path = self.folder / f"{name}.log"
@@ -103,7 +103,7 @@
         """MB of each that lives, as the system counts what is resident."""
         found = {}
         for name in self.alive():
-            with open(f"/proc/{self.held[name].pid}/status") as status:
+            with open(f"/proc/{self.by_name[name].pid}/status") as status:
                 found[name] = next(
                     int(line.split()[1]) / 1_000 for line in status if line.startswith("VmRSS")
                 )
@@ -114,7 +114,7 @@
         names = [name for name in self.alive() if names is None or name in names]
         before = {name: len(self.log(name)) for name in names}
         for name in names:
-            self.held[name].send_signal(signal.SIGUSR1)
+            self.by_name[name].send_signal(signal.SIGUSR1)
         found, end = {}, time.monotonic() + within
         while len(found) < len(names) and time.monotonic() < end:
             time.sleep(0.05)
@@ -130,12 +130,12 @@
         return found
 
     def end(self):
-        for process in self.held.values():
+        for process in self.by_name.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
                 process.terminate()
         until = time.monotonic() + END_WITHIN
-        for process in self.held.values():
+        for process in self.by_name.values():
             try:
                 process.wait(max(0.01, until - time.monotonic()))
             except subprocess.TimeoutExpired:
--- a/standins/crowd/relay.py
+++ b/standins/crowd/relay.py
@@ -14,7 +14,7 @@
 import time
 
 from .remote import main
-from .whose import owner
+from .socket_owner import socket_owner
 
 PIECE = 65_536
 LONGEST = 2_048  # bytes of a datagram
@@ -113,7 +113,7 @@
             return
         if sender is None:
             port = writer.get_extra_info("peername")[1]
-            sender = await asyncio.to_thread(owner, port, self.processes)
+            sender = await asyncio.to_thread(socket_owner, port, self.processes)
         pair = (sender, to, writer, far)
         self.open.add(pair)
         try:
--- a/standins/crowd/whose.py
+++ b/standins/crowd/socket_owner.py
@@ -3,7 +3,7 @@
 import os
 
 
-def inode(port, table="/proc/net/tcp"):
+def socket_inode(port, table="/proc/net/tcp"):
     """Of the socket that has that local port and a peer, or None."""
     with open(table) as lines:
         next(lines)
@@ -14,9 +14,9 @@
     return None
 
 
-def owner(port, pids):
+def socket_owner(port, pids):
     """The name, of pids {name: process id}, whose socket has that local port; None where none has."""
-    found = inode(port)
+    found = socket_inode(port)
     wanted = f"socket:[{found}]"
     for name, pid in pids.items() if found else ():
         try:
--- a/standins/crowd/checks.py
+++ b/standins/crowd/verdict.py
@@ -16,42 +16,42 @@
 
     def __init__(self, table, caches, told, struck, slack=SLACK):
         self.lookups, self.caches, self.slack = table["lookups"], caches, 1_000 * slack
-        self.struck = [(at, name) for at, what, name in struck if what in ("kill", "stop")]
-        self.ends = {}
+        self.router_faults = [(at, name) for at, what, name in struck if what in ("kill", "stop")]
+        self.outcomes = {}
         for row in self.lookups:
-            self.ends[row[3]] = self.ends.get(row[3], 0) + 1
-        sent = len(self.lookups) - self.ends.get("unsent", 0) - self.ends.get("left", 0)
+            self.outcomes[row[3]] = self.outcomes.get(row[3], 0) + 1
+        sent = len(self.lookups) - self.outcomes.get("unsent", 0) - self.outcomes.get("left", 0)
         self.sent = sent
-        self.served = self.ends.get("served", 0) / sent if sent else 0.0
-        self.lost = [row for row in self.lookups if row[3] == "lost" and not self._struck(row)]
-        self.twice, self.bad = table["twice"], table["bad"]
+        self.served = self.outcomes.get("served", 0) / sent if sent else 0.0
+        self.lost = [row for row in self.lookups if row[3] == "lost" and not self._router_had_fault(row)]
+        self.answered_twice, self.corrupt = table["twice"], table["bad"]
         self.stale = [row for row in self.lookups if row[5] and self._stale(row, told["purged"])]
-        self.falls = [fall for row in caches for fall in row["falls"]]
+        self.overloads = [fall for row in caches for fall in row["falls"]]
         self.after_drain = [
             use for row in caches for use in row["after_drain"] if use[0] > GRACE + self.slack
         ]
-        self.void = [target for row in caches for target in row["void"]]
-        self.again = self._again()
-        self.broken = [
+        self.invalid_requests = [target for row in caches for target in row["void"]]
+        self.repeated_effects = self._find_repeated_effects()
+        self.violations = [
             f"{what}: {len(rows)}, such as {rows[0]}"
             for what, rows in (
                 ("lookups lost by a router that lived", self.lost),
-                ("answered twice", self.twice),
-                ("bytes that no cache made", self.bad),
+                ("answered twice", self.answered_twice),
+                ("bytes that no cache made", self.corrupt),
                 ("older than a purge or its time", self.stale),
-                ("cold caches pushed over", self.falls),
+                ("cold caches pushed over", self.overloads),
                 ("drained caches used", self.after_drain),
-                ("requests that no client sent", self.void),
-                ("effects twice", self.again),
+                ("requests that no client sent", self.invalid_requests),
+                ("effects twice", self.repeated_effects),
             )
             if rows
         ]
 
-    def _struck(self, row):
+    def _router_had_fault(self, row):
         """Its router was killed or stopped while it was out, or just before: nobody else is to blame."""
         return any(
             name == row[1] and at - AROUND <= row[0] + row[4] and row[0] <= at + AROUND
-            for at, name in self.struck
+            for at, name in self.router_faults
         )
 
     def _stale(self, row, purged):
@@ -66,7 +66,7 @@
             for told, when, key, group in purged
         )
 
-    def _again(self):
+    def _find_repeated_effects(self):
         """Side effects by id or key that ran more than once: a guarded one may, within its caches' memory."""
         seen = {}
         for row in self.caches:
@@ -81,7 +81,7 @@
         hits, fills = (sum(slot["hits"] for slot in edge), sum(sum(slot["fills"].values()) for slot in edge))
         return {
             "lookups": len(self.lookups),
-            **{end: count for end, count in sorted(self.ends.items())},
+            **{end: count for end, count in sorted(self.outcomes.items())},
             "served_share": round(self.served, 4),
             "hit_share": round(hits / max(1, hits + fills), 4),
             "p50_ms": round(1_000 * took[len(took) // 2], 1),
@@ -89,6 +89,6 @@
             "origin_fills": sum(slot["fills"].get("o0", 0) for slot in slots),
             "full": sum(slot["full"] for slot in slots),
             "refused": sum(slot["refused"] for slot in slots),
-            "falls": len(self.falls),
-            "rule_breaks": len(self.broken),
+            "falls": len(self.overloads),
+            "rule_breaks": len(self.violations),
         }
--- a/standins/crowd/world.py
+++ b/standins/crowd/world.py
@@ -7,8 +7,8 @@
 import json
 import time
 
+from .cache_server import CacheServer
 from .caches import Cache, now
-from .door import Door
 from .feed import Feed
 from .remote import main
 
@@ -21,7 +21,7 @@
     """spec: caches (rows of the feed with port and room), doors (of the feed), terms, idle, inline."""
 
     def __init__(self, spec):
-        self.spec, self.caches, self.doors, self.events = spec, {}, {}, []
+        self.spec, self.caches, self.servers, self.events = spec, {}, {}, []
         self.feed = Feed(spec["doors"], [self._listed(row) for row in spec["caches"]])
         self.purged = []  # (told, at, key, group)
 
@@ -40,13 +40,15 @@
 
     async def _add(self, row):
         cache = self.caches[row["name"]] = Cache(row, self.spec["terms"], self.caches)
-        self.doors[row["name"]] = door = Door(cache, row["port"], self.spec["idle"], self.spec["inline"])
+        self.servers[row["name"]] = server = CacheServer(
+            cache, row["port"], self.spec["idle"], self.spec["inline"]
+        )
         cache.row_of = row
-        await door.open()
+        await server.open()
 
     def _sweep(self, loop):
-        for door in self.doors.values():
-            door.sweep()
+        for server in self.servers.values():
+            server.sweep()
         loop.call_later(SWEEP, self._sweep, loop)
 
     def _note(self, what, name):
@@ -56,11 +58,11 @@
 
     def vanish(self, name):
         self._note("vanish", name)
-        self.doors[name].vanish()
+        self.servers[name].vanish()
 
     def hang(self, name):
         self._note("hang", name)
-        self.doors[name].hang()
+        self.servers[name].hang()
 
     def slow(self, name, times):
         self._note("slow", name)
@@ -68,26 +70,26 @@
 
     async def heal(self, name):
         self._note("heal", name)
-        await self.doors[name].heal()
+        await self.servers[name].heal()
 
     async def restart(self, name, gone=RESTART):
         """It comes back cold, and the feed says so."""
         self._note("restart", name)
-        cache, door = self.caches[name], self.doors[name]
+        cache, server = self.caches[name], self.servers[name]
         cache.state = "down"
-        door.shut()
+        server.shut()
         cache.empty()
         await asyncio.sleep(gone)
         cache.since = int(now())
         self.feed.change(self._listed(cache.row_of, since_ms=cache.since))
-        await door.heal()
+        await server.heal()
 
     async def replace(self, name):
         """Another cache takes its address; its name."""
         self._note("replace", name)
-        old, door = self.caches[name], self.doors[name]
+        old, server = self.caches[name], self.servers[name]
         row = {**old.row_of, "name": f"{name.partition('.')[0]}.{len(self.events)}", "since_ms": int(now())}
-        door.shut()
+        server.shut()
         old.empty()
         old.state = "gone"
         await self._add(row)
@@ -113,7 +115,7 @@
         cache.leaving = cache.leaving or now()
         self.feed.change(self._listed(cache.row_of, status="left"))
         cache.state = "gone"
-        self.doors[name].shut()
+        self.servers[name].shut()
 
     def purge(self, key=None, group=None):
         at = round(now())
@@ -163,7 +165,7 @@
                             "falls": cache.falls,
                             "after_drain": cache.after_drain,
                             "effects": cache.effects,
-                            "void": self.doors[name].void,
+                            "void": self.servers[name].void,
                         }
                     ),
                     file=out,
--- a/standins/exchange.py
+++ b/standins/datagram_proxy.py
@@ -12,7 +12,7 @@
 import time
 
 
-class Exchange:
+class DatagramProxy:
     """ports: {name: its own port}; at: {name: its port here}, any where it is not said. cut(a, b): whether
     what a sends does not reach b; all else as set.
     """
@@ -27,7 +27,7 @@
             self.sockets[name] = made
         self.ports = {name: made.getsockname()[1] for name, made in self.sockets.items()}
         self.dice, self.loss, self.double, self.delay, self.jitter = random.Random(seed), 0.0, 0.0, 0.0, 0.0
-        self.cuts, self.packets, self.bytes, self.closed, self.kept = set(), 0, 0, False, []
+        self.cuts, self.packets, self.bytes, self.closed, self.captured = set(), 0, 0, False, []
         threading.Thread(target=self._run, daemon=True).start()
 
     def _run(self):
@@ -42,8 +42,8 @@
                     continue
                 sender, to = self.names.get(address), by_socket[ready]
                 self.packets, self.bytes = self.packets + 1, self.bytes + len(data)
-                if len(self.kept) < 2_000:
-                    self.kept.append((sender, to, data))
+                if len(self.captured) < 2_000:
+                    self.captured.append((sender, to, data))
                 if sender is None or (sender, to) in self.cuts or self.dice.random() < self.loss:
                     continue
                 for _ in range(1 + (self.dice.random() < self.double)):
--- a/standins/shim.py
+++ b/standins/fault_injection.py
@@ -1,8 +1,10 @@
-"""Runs a command of the program on a disk, or by a clock, that misbehaves on request.
+"""Runs a command of the program with injected disk and clock faults.
 
-python -m standins.shim FILE WORDS...: before each write of a keeper's store FILE is read, one JSON object:
-{"flush": seconds a write takes more, "fail": so many writes fail after they were done}; {"rate": 0.99} at the
-start makes the clock that leases go by run so much slower.
+python -m standins.fault_injection FILE WORDS...
+
+WORDS are the command of the program. FILE holds one JSON object and is read again before each write of a
+keeper's store: {"flush": seconds that each write takes longer, "fail": how many writes report an error after
+they have succeeded}. {"rate": 0.99} is read once at the start: the clock that leases use runs at that rate.
 """
 
 import json
--- a/standins/hollow/router.py
+++ b/standins/hollow/router.py
@@ -16,9 +16,9 @@
 from hookrouter.tables.deadlines import Deadlines
 
 from .configuration import Sections
-from .loads import MadeUpState, made_up_caches
 from .report import Position, RouterReport, Traffic
 from .sockets import RouterReactor, SocketCounter
+from .synthetic_state import SyntheticState, synthetic_caches
 
 OFF = "off"  # the lease of a router without [purges]
 
@@ -81,8 +81,8 @@
         self.name, self.traffic, self.counted = fleet["name"], Traffic(), Counter()
         self.reactor = RouterReactor(reactor)
         SocketCounter(self.reactor, self.traffic, fleet["keepers"])
-        caches = caches or made_up_caches(fleet["zone"])
-        self.state = MadeUpState(f"{seed}/{self.name}", caches)
+        caches = caches or synthetic_caches(fleet["zone"])
+        self.state = SyntheticState(f"{seed}/{self.name}", caches)
         self.member = sharing_member(self.reactor, log, sections, lambda: self.state)
         self.holder = self.feed = None
         if "purges" in sections:
--- a/standins/hollow/loads.py
+++ b/standins/hollow/synthetic_state.py
@@ -23,12 +23,12 @@
     rate: float
 
 
-def made_up_caches(zone: str) -> list[str]:
+def synthetic_caches(zone: str) -> list[str]:
     """Names that all routers of a zone have in common."""
     return [f"{zone}-c{n}" for n in range(CACHES)]
 
 
-class MadeUpState:
+class SyntheticState:
     """The state that hookrouter.fleet.member.sharing.Sharing asks for, from a seeded generator."""
 
     def __init__(self, seed: str, caches: Sequence[str]) -> None:
--- a/standins/storm.py
+++ b/standins/purge_rig.py
@@ -17,7 +17,7 @@
 SECRET = "0123456789abcdef"
 
 
-class Storm:
+class PurgeRig:
     """paced: whether the section [admission] is there. more: lines for [purges]."""
 
     def __init__(self, folder, paced=True, more=""):
@@ -69,17 +69,17 @@
         threading.Thread(target=lambda: process.lines.extend(process.stderr), daemon=True).start()
         return process
 
-    def desk(self):
+    def start_desk(self):
         return self.start(
             "hookrouter", "purges", "serve", "--site", self.sites["desk"], said="serving purges"
         )
 
-    def relay(self):
+    def start_relay(self):
         return self.start(
             "hookrouter", "purges", "relay", "--site", self.sites["relay"], said="serving purges"
         )
 
-    def followers(self, count, site="direct", **options):
+    def start_followers(self, count, site="direct", **options):
         """The file of their history."""
         path = str(self.folder / f"history{len(self.all)}")
         words = [word for key, value in options.items() for word in (f"--{key}", str(value))]
@@ -134,12 +134,12 @@
                 return None
         return None
 
-    def fill(self, many):
+    def submit_many(self, many):
         for at in range(0, many, 1_000):
             self.submit([f"old{at + n}" for n in range(min(1_000, many - at))])
 
-    def purge_on(self, every):
-        """Purges go on until over()."""
+    def start_purges(self, every):
+        """Purges go on until stop_purges()."""
 
         def run():
             n = 0
@@ -153,25 +153,25 @@
     # ---- histories
 
     @staticmethod
-    def rows(path):
+    def read_history(path):
         """[(wall ms, name, may answer, n, connected)] as far as written."""
         with open(path, encoding="utf-8") as file:
             return [json.loads(line) for line in file if line.endswith("\n")]
 
-    def all_up(self, path, count, within, since=0):
+    def wait_connected(self, path, count, within, since=0):
         """Waits until so many are connected at once; wall ms of when the last came."""
         until = time.monotonic() + within
         paths = [path] if isinstance(path, str) else path
         while time.monotonic() < until:
             up = {}
-            for at, name, _, _, connected in [row for one in paths for row in self.rows(one)]:
+            for at, name, _, _, connected in [row for one in paths for row in self.read_history(one)]:
                 up[name] = at if connected else None
             if len(up) == count and all(up.values()) and max(up.values()) >= since:
                 return max(up.values())
             time.sleep(0.05)
         raise AssertionError(f"{sum(map(bool, up.values()))} of {count} are back after {within} s")
 
-    def effects(self):
+    def effect_times(self):
         """[(n, wall ms from which it is in effect)] of what was acknowledged, as the desk states it."""
         found = []
         for number in self.acknowledged[-200:]:
@@ -181,21 +181,21 @@
                 found.append((int(number.partition(".")[2]), at))
         return found
 
-    def late(self, path, slack=100):
+    def stale_answers(self, path, slack=100):
         """Whoever might answer at a place before a purge that was in effect: [(name, n, purge)]. slack: ms,
         since a follower notes the end of its lease at its next look.
         """
-        effects, found, since = self.effects(), [], {}
+        effects, found, since = self.effect_times(), [], {}
         paths = [path] if isinstance(path, str) else path
-        for at, name, may, n, _ in [row for one in paths for row in self.rows(one)]:
+        for at, name, may, n, _ in [row for one in paths for row in self.read_history(one)]:
             might, place = since.get(name, (False, 0))
             since[name] = may, n
-            over = [purge for purge, t in effects if purge > place and t + slack < at]
-            if might and over:
-                found.append((name, place, over[0]))
+            missed = [purge for purge, t in effects if purge > place and t + slack < at]
+            if might and missed:
+                found.append((name, place, missed[0]))
         return found
 
-    def over(self):
+    def stop_purges(self):
         self.stop_purging.set()
         if self.purger is not None:
             self.purger.join()
@@ -204,7 +204,7 @@
         return self
 
     def __exit__(self, *_):
-        self.over()
+        self.stop_purges()
         self.link.closed = True
         self.link.server.close()
         for process in self.all:
--- a/standins/rig.py
+++ b/standins/rig.py
@@ -12,7 +12,7 @@
 from itertools import permutations
 from pathlib import Path
 
-from .exchange import Exchange
+from .datagram_proxy import DatagramProxy
 from .links import Link
 from .ports import free_port
 
@@ -34,7 +34,7 @@
         self.keepers = [f"k{n}" for n in range(keepers)]
         self.names = [*self.keepers, *(f"m{n}" for n in range(members))]
         self.ports = {name: free_port() for name in self.names}
-        self.desks = {name: free_port() for name in self.keepers} if purges else {}
+        self.desk_ports = {name: free_port() for name in self.keepers} if purges else {}
         self.hold = hold
         self.links = {
             (a, b): Link(("127.0.0.1", self.ports[b]))
@@ -42,10 +42,12 @@
             if b in self.keepers
         }
         self.sections, self.zones = sections, zones
-        self.doors = {
+        self.advertised_links = {
             name: Link(("127.0.0.1", self.ports[name])) for name in (self.names if sections else ())
         }
-        self.exchange = Exchange(self.ports, at={name: door.port for name, door in self.doors.items()})
+        self.datagram_proxy = DatagramProxy(
+            self.ports, at={name: link.port for name, link in self.advertised_links.items()}
+        )
         self.register_port, self.audit = free_port(), self.folder / "audit.jsonl"
         self.secret = self.folder / "secret"
         self.secret.write_text("a secret for this rig only")
@@ -53,7 +55,7 @@
         if purges:
             (self.folder / "purges-secret").write_text("another secret for this rig")
             (self.folder / "purges-secret").chmod(0o600)
-        self.shims = set()  # names whose disk or clock misbehaves, see shim()
+        self.misbehaving = set()  # names whose disk or clock misbehaves, see set_disk_and_clock_faults()
         self.processes, self.configs = {}, {}  # configs: name -> EDGE_CONFIG of one that runs lookups, too
         self.register = subprocess.Popen(
             [sys.executable, "-m", "standins.register", str(self.register_port), str(self.audit)], cwd=ROOT
@@ -66,15 +68,16 @@
             f"{k} 127.0.0.1:{self.ports[k] if k == name else self.links[name, k].port}" for k in self.keepers
         )
         store = f"store = {name}.db\n" if name in self.keepers else ""
-        seeds = ", ".join(f"127.0.0.1:{self.exchange.ports[k]}" for k in self.keepers)
+        seeds = ", ".join(f"127.0.0.1:{self.datagram_proxy.ports[k]}" for k in self.keepers)
         zone = f"z{self.names.index(name) % self.zones}"
         (self.folder / f"{name}.ini").write_text(
             f"[fleet]\nname = {name}\nlisten = 127.0.0.1:{self.ports[name]}\nkeepers = {keepers}\n"
-            f"address = 127.0.0.1:{self.exchange.ports[name]}\nseeds = {seeds}\nzone = {zone}\n"
+            f"address = 127.0.0.1:{self.datagram_proxy.ports[name]}\nseeds = {seeds}\nzone = {zone}\n"
             f"secret = secret\n{store}lease = {self.lease}\ndrill = 127.0.0.1:{self.register_port}\n"
             + (
-                self.purges() + f"[desk]\nlisten = 127.0.0.1:{self.desks[name]}\nstore = {name}-purges.db\n"
-                if name in self.desks
+                self.purges()
+                + f"[desk]\nlisten = 127.0.0.1:{self.desk_ports[name]}\nstore = {name}-purges.db\n"
+                if name in self.desk_ports
                 else ""
             )
             + self.sections
@@ -83,12 +86,12 @@
             keepers = ", ".join(f"{k} 127.0.0.1:{self.ports[k]}" for k in self.keepers)
             (self.folder / "people.ini").write_text(
                 f"[fleet]\nname = people\nlisten = 127.0.0.1:1\nkeepers = {keepers}\nsecret = secret\n"
-                + (self.purges() if self.desks else "")
+                + (self.purges() if self.desk_ports else "")
             )
 
     def purges(self):
         """The section, as routers and people have it."""
-        desks = ", ".join(f"127.0.0.1:{port}" for port in self.desks.values())
+        desks = ", ".join(f"127.0.0.1:{port}" for port in self.desk_ports.values())
         return (
             f"[purges]\ndesk = {desks}\nsecret = purges-secret\nlease = 1 s\nskew = 1 ms\n"
             f"hold = {self.hold}\n"
@@ -99,8 +102,8 @@
             out = open(self.folder / f"{name}.log", "ab")
             words = ["serve"] if name in self.configs else ["fleet", "serve"]
             program = ["hookrouter"]
-            if name in self.shims:
-                program = ["standins.shim", str(self.folder / f"{name}.shim")]
+            if name in self.misbehaving:
+                program = ["standins.fault_injection", str(self.folder / f"{name}.shim")]
             edge = {"EDGE_CONFIG": str(self.configs[name])} if name in self.configs else {}
             self.processes[name] = subprocess.Popen(
                 [sys.executable, "-m", *program, *words, "--site", str(self.folder / f"{name}.ini")],
@@ -166,9 +169,9 @@
             time.sleep(0.1)
         return False
 
-    def shim(self, name, **wishes):
-        """What standins/shim.py does to that process, from now on, or from its next start."""
-        self.shims.add(name)
+    def set_disk_and_clock_faults(self, name, **wishes):
+        """What standins/fault_injection.py does to that process, from now on, or from its next start."""
+        self.misbehaving.add(name)
         (self.folder / f"{name}.new").write_text(json.dumps(wishes))
         os.replace(self.folder / f"{name}.new", self.folder / f"{name}.shim")
 
@@ -197,7 +200,7 @@
     def between(self, name):
         return [link for pair, link in self.links.items() if name in pair]
 
-    def strike(self, name, fault):
+    def inject_fault(self, name, fault):
         """kill, stop, disk (full), swallow (cut silently, both ways), one way (it hears, unheard)."""
         if fault == "kill":
             self.kill(name)
@@ -211,7 +214,7 @@
                 if name in pair:
                     link.swallow(to=both or pair[0] == name, back=both or pair[1] == name)
 
-    def mend(self, name, fault):
+    def clear_fault(self, name, fault):
         """The end of what strike began."""
         if fault == "kill":
             self.start(name)
@@ -223,19 +226,19 @@
             for link in self.between(name):
                 link.heal()
 
-    def taken(self):
+    def audit_rows(self):
         """What the register took or refused, in its order."""
         return (
             [json.loads(line) for line in self.audit.read_text().splitlines()] if self.audit.exists() else []
         )
 
     def steps(self, duty):
-        return sum(1 for row in self.taken() if row["duty"] == duty and row["ok"] and row["step"])
+        return sum(1 for row in self.audit_rows() if row["duty"] == duty and row["ok"] and row["step"])
 
-    def wrong(self):
+    def audit_violations(self):
         """What the register's record breaks, in words."""
         broken, highest, last = [], {}, {}
-        for row in self.taken():
+        for row in self.audit_rows():
             if not row["ok"]:
                 continue
             duty, number, step = row["duty"], row["number"], row["step"]
@@ -260,11 +263,11 @@
                 process.wait()
         self.register.kill()
         self.register.wait()
-        for link in [*self.links.values(), *self.doors.values()]:
+        for link in [*self.links.values(), *self.advertised_links.values()]:
             link.close()
-        self.exchange.close()
+        self.datagram_proxy.close()
 
-    def ended(self):
+    def exited_processes(self):
         """{name: the last it said} of processes that are over: why a fleet does not come together."""
         return {
             name: self.log(name)[-LAST_SAID:]
--- a/tests/test_admission_network.py
+++ b/tests/test_admission_network.py
@@ -10,7 +10,7 @@
 
 from hookrouter.feed.paced import Pacing
 from standins.ports import free_port
-from standins.storm import Storm
+from standins.purge_rig import PurgeRig
 
 
 def test_a_follower_that_is_told_comes_back_then_with_its_ticket(tmp_path):
@@ -38,57 +38,59 @@
 def test_a_desk_killed_twice_within_one_storm_of_processes(tmp_path):
     """Routers and followers come back each time; no purge that was acknowledged is lost or answered against."""
     assert site(tmp_path)["purges"]
-    with Standing(Cache) as cache, Storm(tmp_path) as storm:
-        desk = storm.desk()
-        storm.relay()
+    with Standing(Cache) as cache, PurgeRig(tmp_path) as purge_rig:
+        desk = purge_rig.start_desk()
+        purge_rig.start_relay()
         fleet = [endpoint("c0", cache.port), endpoint("o0", cache.port, "origin")]
         for n in range(6):
             path = tmp_path / f"n{n}.json"
             path.write_text(
                 json.dumps(configuration(members(1, *fleet, whole=True), listen=f"127.0.0.1:{free_port()}"))
             )
-            storm.start(
+            purge_rig.start(
                 "hookrouter",
                 "serve",
                 "--site",
-                storm.sites["direct" if n < 3 else "below"],
+                purge_rig.sites["direct" if n < 3 else "below"],
                 said="serving",
                 EDGE_CONFIG=str(path),
                 EDGE_NAME=f"n{n}",
             )
-        storm.fill(4_000)
-        history = storm.followers(60, forget=0.5, rude=0.1)
-        storm.all_up(history, 60, 60)
-        storm.purge_on(0.2)
+        purge_rig.submit_many(4_000)
+        history = purge_rig.start_followers(60, forget=0.5, rude=0.1)
+        purge_rig.wait_connected(history, 60, 60)
+        purge_rig.start_purges(0.2)
         time.sleep(1)
         for pause in (0.25, 0.0):  # the second time in the middle of the storm
-            storm.kill(desk)
+            purge_rig.kill(desk)
             began = time.time() * 1_000
-            desk = storm.desk()
+            desk = purge_rig.start_desk()
             time.sleep(pause)
             if pause:
-                storm.link.reset()
-        storm.all_up(history, 60, 60, began)
+                purge_rig.link.reset()
+        purge_rig.wait_connected(history, 60, 60, began)
         for _ in range(200):  # the routers too, those behind the relay by it
-            rows = {row["name"]: row for row in storm.status()["members"]}
+            rows = {row["name"]: row for row in purge_rig.status()["members"]}
             if sum(row["state"] == "live" for row in rows.values()) >= 64:
                 break
             time.sleep(0.1)
         assert {"depot", "n0", "n1", "n2", "f000"} <= set(rows)
-        storm.over()
-        known = {number for number in storm.acknowledged[-200:]}
+        purge_rig.stop_purges()
+        known = {number for number in purge_rig.acknowledged[-200:]}
         for number in known:  # none lost, each stated
-            status, facts = storm.call("GET", f"/v1/purges/{number}")
+            status, facts = purge_rig.call("GET", f"/v1/purges/{number}")
             assert status == 200 and facts["number"] == number
         time.sleep(0.5)
-        assert storm.late(history) == []
+        assert purge_rig.stale_answers(history) == []
         with open(history, "a", encoding="utf-8") as file:  # and one that is seeded is found
             now = int(time.time() * 1_000)
             file.writelines(
                 json.dumps([at, "f999", may, 0, True]) + "\n"
                 for at, may in ((now - 9_000, True), (now, False))
             )
-        assert [row[:2] for row in storm.late(history)] == [("f999", 0)]
-        facts = storm.status()["admission"]
+        assert [row[:2] for row in purge_rig.stale_answers(history)] == [("f999", 0)]
+        facts = purge_rig.status()["admission"]
         assert facts["state"] == "open" and facts["counts"]["admitted"] >= 60
-        assert sum(row["name"].startswith("n") for row in storm.status(storm.relay_port)["members"]) == 3
+        assert (
+            sum(row["name"].startswith("n") for row in purge_rig.status(purge_rig.relay_port)["members"]) == 3
+        )
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -38,11 +38,11 @@
         crowd.load.wait()
         verdict = crowd.verdict(slack=1.0)
         counted = crowd.counters()
-        assert verdict.broken == [] and verdict.served > 0.8, verdict.summary()
+        assert verdict.violations == [] and verdict.served > 0.8, verdict.summary()
         assert len(counted) == 12 and all(row["errors_uncaught"] == 0 for row in counted.values())
         assert all("Traceback" not in crowd.processes.log(name) for name in crowd.members)
         ran = sum(sum(slot["by"].values()) for row in crowd.caches.tables() for slot in row["slots"])
-        assert ran > verdict.ends["served"] / 2 and crowd.links.carried()["bytes"]["r11"] > 1_000
+        assert ran > verdict.outcomes["served"] / 2 and crowd.links.carried()["bytes"]["r11"] > 1_000
 
 
 def test_each_mistake_made_on_purpose_is_found(tmp_path):
@@ -69,13 +69,13 @@
         verdict = crowd.verdict(slack=1.0)
     of = {name: f"r{n}" for n, name in enumerate(names)}
     assert {row[1] for row in verdict.lost} == {of["silent"]}
-    assert {name for _, name in verdict.twice} == {of["twice"]}
-    assert {name for _, name in verdict.bad} == {of["spoilt"]}
+    assert {name for _, name in verdict.answered_twice} == {of["twice"]}
+    assert {name for _, name in verdict.corrupt} == {of["spoilt"]}
     assert {row[1] for row in verdict.stale} == {of["purges"]}
     assert {who for _, who, *_ in verdict.after_drain} == {names.index("drains")}
-    assert {int(key[:4], 16) for key, _ in verdict.again} == {names.index("effects")}
-    assert verdict.falls and verdict.falls[0]["cache"] == "c0"
-    assert len(verdict.broken) == len(MISTAKES)
+    assert {int(key[:4], 16) for key, _ in verdict.repeated_effects} == {names.index("effects")}
+    assert verdict.overloads and verdict.overloads[0]["cache"] == "c0"
+    assert len(verdict.violations) == len(MISTAKES)
 
 
 def asked(port, *fields):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -35,7 +35,7 @@
         yield made
     finally:
         made.stop()
-    assert made.wrong() == []
+    assert made.audit_violations() == []
     assert not any("uncaught" in made.log(name) or "Traceback" in made.log(name) for name in made.names)
 
 
@@ -48,10 +48,10 @@
     for fault in ("kill", "stop", "swallow", "one way"):
         owner = rig.wait(lambda: holder(rig, DUTY))
         number = rig.owners()[DUTY]["number"]
-        rig.strike(owner, fault)
+        rig.inject_fault(owner, fault)
         assert rig.wait(lambda n=number: rig.owners().get(DUTY, {}).get("number", 0) > n), fault
         assert goes_on(rig), fault
-        rig.mend(owner, fault)
+        rig.clear_fault(owner, fault)
         assert goes_on(rig), fault
     assert rig.command("hand-over", DUTY)[0] == 0
     assert goes_on(rig)
@@ -62,9 +62,9 @@
         rig.kill(name)
     assert rig.command("status")[0] == 1
     rig.wait(lambda: "duty lost" in rig.log("m0"), 3)
-    still = len(rig.taken())
+    still = len(rig.audit_rows())
     rig.start("k0")
-    assert not rig.wait(lambda: len(rig.taken()) > still + 1, 2)  # one that was on its way may come
+    assert not rig.wait(lambda: len(rig.audit_rows()) > still + 1, 2)  # one that was on its way may come
     rig.start("k1", "k2")
     assert goes_on(rig)
 
@@ -141,19 +141,19 @@
 def test_a_slow_disk_a_flush_that_fails_and_an_owner_whose_clock_runs_slow(tmp_path):
     made = Rig(tmp_path, keepers=3, members=1)
     for name in made.keepers:
-        made.shim(name)
-    made.shim("m0", rate=0.99)
+        made.set_disk_and_clock_faults(name)
+    made.set_disk_and_clock_faults("m0", rate=0.99)
     made.start()
     try:
         lead = made.wait(lambda: made.status()["leader"])
         assert made.command("declare", DUTY)[0] == 0
         assert made.wait(lambda: made.steps(DUTY) > 3)
-        made.shim(lead, flush=2.0)  # leadership moves to one that is quick
+        made.set_disk_and_clock_faults(lead, flush=2.0)  # leadership moves to one that is quick
         assert made.wait(lambda: made.status()["leader"] not in (None, lead))
         assert goes_on(made)
-        made.shim(lead)
+        made.set_disk_and_clock_faults(lead)
         lead = made.wait(lambda: made.status()["leader"])
-        made.shim(lead, fail=1)  # it was on disk, and is not believed to be
+        made.set_disk_and_clock_faults(lead, fail=1)  # it was on disk, and is not believed to be
         assert made.wait(lambda: "cannot be written" in made.log(lead))
         assert made.wait(lambda: "keeper writes again" in made.log(lead))
         assert goes_on(made)
@@ -170,7 +170,7 @@
         assert goes_on(made)
     finally:
         made.stop()
-    assert made.wrong() == []
+    assert made.audit_violations() == []
     assert not any("uncaught" in made.log(name) or "Traceback" in made.log(name) for name in made.names)
 
 
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -12,10 +12,10 @@
 from standins.crowd.layout import Layout
 from standins.hollow import ConfigurationRefused, HollowProcess
 from standins.hollow.configuration import read_configuration, read_sections
-from standins.hollow.loads import MadeUpState
 from standins.hollow.meters import FrameMeter, HttpMeter
 from standins.hollow.process import read_reports
 from standins.hollow.report import Flow
+from standins.hollow.synthetic_state import SyntheticState
 from standins.rig import ROOT
 
 HOLLOW = 12
@@ -270,12 +270,12 @@
 
 def test_made_up_loads_follow_from_the_seed_and_stay_in_their_bounds():
     def told(seed):
-        state = MadeUpState(seed, ["c1", "c0"])
+        state = SyntheticState(seed, ["c1", "c0"])
         return [state.loads(now) for now in range(50)], state.learnt()
 
     assert told("1/h0") == told("1/h0") != told("1/h1")
     rows = [row for loads in told("1/h0")[0] for row in loads]
     assert [row.cache for row in rows[:2]] == ["c0", "c1"]
     assert all(0 <= row.out <= 4 and 0 <= row.rate <= 20 for row in rows)
-    state = MadeUpState("1/h0", ["c0"])
+    state = SyntheticState("1/h0", ["c0"])
     assert state.adopt([told("1/h1")[1]]) == 4
--- a/tests/test_keepers_sealed.py
+++ b/tests/test_keepers_sealed.py
@@ -47,20 +47,20 @@
     body = json.dumps({"key": f"many-{first}", "purges": rows})
 
     def tried():
-        for port in rig.desks.values():
+        for port in rig.desk_ports.values():
             status, told = call(port, "POST", "/v1/purges", body)
             if status == 200:
                 return [int(row["number"].split(".")[1]) for row in told["purges"]]
         return None
 
     numbers = rig.wait(tried, 30)
-    assert numbers, rig.ended()
+    assert numbers, rig.exited_processes()
     return numbers
 
 
 def desk(rig):
     """What the owner says of its order."""
-    found = [told for port in rig.desks.values() for _, told in [call(port, "GET", "/v1/status")]]
+    found = [told for port in rig.desk_ports.values() for _, told in [call(port, "GET", "/v1/status")]]
     return next((told for told in found if told and told.get("role") == "desk"), None)
 
 
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -264,7 +264,7 @@
         rig.pause(name)
     # The first submission waits for the log until the lease expires; the second is refused at once.
     for _ in range(2):
-        connection = http.client.HTTPConnection("127.0.0.1", rig.desks[owner], timeout=8)
+        connection = http.client.HTTPConnection("127.0.0.1", rig.desk_ports[owner], timeout=8)
         connection.request(
             "POST",
             "/v1/purges",
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -249,7 +249,7 @@
     assert verdict == Verdict([], [], [], []) and session.crowd_breaks == [] and session.unfenced == 0
     assert len(session.measured) == 3 and session.ended_by is None
     assert session.back["region"] is not None and session.back["kill"] is not None
-    assert all(process.poll() is not None for process in session.crowd.processes.held.values())
+    assert all(process.poll() is not None for process in session.crowd.processes.by_name.values())
     assert not any(group.alive() for group in session.crowd.hollow.groups)
     told = results_of(session)
     assert r.decode(r.encode(told)) == told
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -305,9 +305,9 @@
                     connection.settimeout(10)
                     ask(connection, b"".join(message(n) for n in range(1, 21)), 20)
             assert rate("k1") > 1 and rate("k2") > 1
-            rig.exchange.split(["k2"], ["k0", "k1"])
+            rig.datagram_proxy.split(["k2"], ["k0", "k1"])
             assert rig.wait(lambda: tellers("k2") <= 1 and tellers("k0") == 2)
-            rig.exchange.heal()
+            rig.datagram_proxy.heal()
             assert rig.wait(lambda: tellers("k2") == 3)
             rig.kill("k1")
             rig.start("k1")
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -157,7 +157,7 @@
     made = Rig(tmp_path, keepers=3, members=7)
     made.start()
     try:
-        assert agree(made, made.names) is not None, made.ended()
+        assert agree(made, made.names) is not None, made.exited_processes()
         yield made
     finally:
         made.stop()
@@ -168,15 +168,15 @@
     def state_changes(name, state):
         return [line for line in rig.log(name).splitlines() if f"member {state}: member=" in line]
 
-    rig.exchange.loss = 0.1
+    rig.datagram_proxy.loss = 0.1
     for name in ("m1", "m2"):  # a pause of 0.3 s must not be taken for a death
         rig.pause(name)
         time.sleep(0.3)
         rig.resume(name)
-    recorded = list(rig.exchange.kept)
+    recorded = list(rig.datagram_proxy.captured)
     time.sleep(1)
     assert not any(state_changes(name, "dead") for name in rig.names)
-    rig.exchange.loss = 0.0
+    rig.datagram_proxy.loss = 0.0
 
     killed = rig.names[4:9]  # half of the fleet at once, restarted at the same addresses
     for name in killed:
@@ -186,20 +186,20 @@
     assert agree(rig, rig.names) is not None
 
     half = rig.names[::2]
-    rig.exchange.split(half, [name for name in rig.names if name not in half])
+    rig.datagram_proxy.split(half, [name for name in rig.names if name not in half])
     assert rig.wait(
         lambda: all(
             len(state_changes(name, "dead")) + rig.log(name).count("members dead") > 0 for name in rig.keepers
         )
     )
-    rig.exchange.heal()
+    rig.datagram_proxy.heal()
     assert agree(rig, rig.names) is not None
 
     for sender, to, data in recorded[:500]:  # replayed datagrams, and noise
         if sender is not None:
-            rig.exchange.send(sender, to, data)
+            rig.datagram_proxy.send(sender, to, data)
     for name in rig.keepers:
-        rig.exchange.send("m0", name, random.Random(1).randbytes(200))
+        rig.datagram_proxy.send("m0", name, random.Random(1).randbytes(200))
     rig.processes["m6"].send_signal(signal.SIGTERM)
     assert agree(rig, [name for name in rig.names if name != "m6"]) is not None
     shown = json.loads(rig.command("members", "--json")[1])["k0"]
--- a/tests/test_warming_crowd.py
+++ b/tests/test_warming_crowd.py
@@ -66,4 +66,4 @@
         )
         assert neighbours > 10 and sum(slot["refused"] for slot in table["slots"]) >= 1
         assert table["falls"] == [] and table["after_drain"] == []
-        assert [line for line in crowd.verdict().broken if not line.startswith("lookups lost")] == []
+        assert [line for line in crowd.verdict().violations if not line.startswith("lookups lost")] == []
