--- a/benchmarks/owners/costs.py
+++ b/benchmarks/owners/costs.py
@@ -123,8 +123,8 @@
                     if struck and n % 2:
                         rig.fill_disk(struck)
                     elif struck:
-                        for link in rig.between(struck):
-                            link.swallow()
+                        for link in rig.links_of(struck):
+                            link.blackhole()
                     for name in rig.names:
                         with socket.create_connection(("127.0.0.1", ports[name]), 5) as connection:
                             connection.settimeout(10)
@@ -135,7 +135,7 @@
                     time.sleep(1.5 if fleet else 0.1)
                     if struck:
                         rig.free_disk(struck)
-                        for link in rig.between(struck):
+                        for link in rig.links_of(struck):
                             link.heal()
             finally:
                 rig.stop()
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Programs that speak to the router's processes and misbehave on request."""
+"""Test stand-ins: programs that take the place of the systems around the router and can inject faults."""
--- a/standins/datagram_proxy.py
+++ b/standins/datagram_proxy.py
@@ -1,7 +1,7 @@
-"""Datagrams between processes, through one place that can lose, delay, double, reorder and cut them.
+"""A UDP proxy between processes that can drop, delay, duplicate, reorder and block datagrams.
 
-Each member has an address here that the others know; what comes to it goes on to the member's own port, from
-the sender's address here. In a thread of whoever uses it.
+Each member has a proxy address, which the other members know. A datagram sent to it is forwarded to the
+member's own port, from the sender's proxy address. The proxy runs in a thread of the calling process.
 """
 
 import heapq
@@ -13,64 +13,68 @@
 
 
 class DatagramProxy:
-    """ports: {name: its own port}; at: {name: its port here}, any where it is not said. cut(a, b): whether
-    what a sends does not reach b; all else as set.
+    """Forwards datagrams between members and applies the faults that are set on its attributes.
+
+    ports: {name: port of the member}. proxy_ports: {name: port of the proxy}; a free port for any other name.
+    loss, duplicate: probabilities; delay, jitter: seconds; cuts: pairs (sender, receiver) that are blocked;
+    captured: the first 2,000 datagrams as (sender, receiver, data).
     """
 
-    def __init__(self, ports, seed=1, at=None):
-        self.real = {name: ("127.0.0.1", port) for name, port in ports.items()}
-        self.names = {address: name for name, address in self.real.items()}
+    def __init__(self, ports, seed=1, proxy_ports=None):
+        self.member_addresses = {name: ("127.0.0.1", port) for name, port in ports.items()}
+        self.names_by_address = {address: name for name, address in self.member_addresses.items()}
         self.sockets = {}
         for name in ports:
-            made = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            made.bind(("127.0.0.1", at.get(name, 0) if at else 0))
-            self.sockets[name] = made
-        self.ports = {name: made.getsockname()[1] for name, made in self.sockets.items()}
-        self.dice, self.loss, self.double, self.delay, self.jitter = random.Random(seed), 0.0, 0.0, 0.0, 0.0
+            sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+            sock.bind(("127.0.0.1", proxy_ports.get(name, 0) if proxy_ports else 0))
+            self.sockets[name] = sock
+        self.ports = {name: sock.getsockname()[1] for name, sock in self.sockets.items()}
+        self.rng, self.loss, self.duplicate, self.delay, self.jitter = random.Random(seed), 0.0, 0.0, 0.0, 0.0
         self.cuts, self.packets, self.bytes, self.closed, self.captured = set(), 0, 0, False, []
         threading.Thread(target=self._run, daemon=True).start()
 
     def _run(self):
-        by_socket = {made: name for name, made in self.sockets.items()}
-        waiting, count = [], 0  # heap of (when, count, from, to, data)
+        names_by_socket = {sock: name for name, sock in self.sockets.items()}
+        pending, sequence = [], 0  # heap of (due time, sequence, sender, receiver, data)
         while not self.closed:
-            until = max(0, min(0.2, waiting[0][0] - time.monotonic())) if waiting else 0.2
-            for ready in select.select(list(by_socket), [], [], until)[0]:
+            timeout = max(0, min(0.2, pending[0][0] - time.monotonic())) if pending else 0.2
+            for ready in select.select(list(names_by_socket), [], [], timeout)[0]:
                 try:
                     data, address = ready.recvfrom(2_000)
                 except OSError:
                     continue
-                sender, to = self.names.get(address), by_socket[ready]
+                sender, receiver = self.names_by_address.get(address), names_by_socket[ready]
                 self.packets, self.bytes = self.packets + 1, self.bytes + len(data)
                 if len(self.captured) < 2_000:
-                    self.captured.append((sender, to, data))
-                if sender is None or (sender, to) in self.cuts or self.dice.random() < self.loss:
+                    self.captured.append((sender, receiver, data))
+                if sender is None or (sender, receiver) in self.cuts or self.rng.random() < self.loss:
                     continue
-                for _ in range(1 + (self.dice.random() < self.double)):
-                    count += 1
-                    when = time.monotonic() + self.delay + self.jitter * self.dice.random()
-                    heapq.heappush(waiting, (when, count, sender, to, data))
-            while waiting and waiting[0][0] <= time.monotonic():
-                _, _, sender, to, data = heapq.heappop(waiting)
-                self.send(sender, to, data)
+                for _ in range(1 + (self.rng.random() < self.duplicate)):
+                    sequence += 1
+                    when = time.monotonic() + self.delay + self.jitter * self.rng.random()
+                    heapq.heappush(pending, (when, sequence, sender, receiver, data))
+            while pending and pending[0][0] <= time.monotonic():
+                _, _, sender, receiver, data = heapq.heappop(pending)
+                self.send(sender, receiver, data)
 
-    def send(self, sender, to, data):
-        """As if that member had sent it."""
+    def send(self, sender, receiver, data):
+        """Sends a datagram in the name of a member; errors of the socket are ignored."""
         try:
-            self.sockets[sender].sendto(data, self.real[to])
+            self.sockets[sender].sendto(data, self.member_addresses[receiver])
         except OSError:
             pass
 
     def split(self, *sides):
-        """Nothing goes between members of different sides."""
-        side = {name: n for n, names in enumerate(sides) for name in names}
+        """Partitions the network: blocks datagrams between members of different sides."""
+        side = {name: number for number, names in enumerate(sides) for name in names}
         self.cuts = {(a, b) for a in side for b in side if side[a] != side[b]}
 
     def heal(self):
-        self.cuts, self.loss, self.double, self.delay, self.jitter = set(), 0.0, 0.0, 0.0, 0.0
+        """Removes all faults."""
+        self.cuts, self.loss, self.duplicate, self.delay, self.jitter = set(), 0.0, 0.0, 0.0, 0.0
 
     def close(self):
         self.closed = True
         time.sleep(0.01)
-        for made in self.sockets.values():
-            made.close()
+        for sock in self.sockets.values():
+            sock.close()
--- a/standins/fault_injection.py
+++ b/standins/fault_injection.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 
-def wished(path):
+def read_faults(path):
     try:
         return json.loads(Path(path).read_text())
     except (OSError, ValueError):
@@ -25,21 +25,23 @@
     from hookrouter.fleet.member import service
     from hookrouter.stores import keeper_log
 
-    write, failed = keeper_log.KeeperLog.write, [0]
+    write, failures = keeper_log.KeeperLog.write, [0]
 
-    def slow(self, persist):
-        now = wished(path)
+    def write_with_faults(self, persist):
+        faults = read_faults(path)
         write(self, persist)
-        time.sleep(now.get("flush", 0))
-        if failed[0] < now.get("fail", 0):  # it is on disk, and the host is told that it may not be
-            failed[0] += 1
+        time.sleep(faults.get("flush", 0))
+        if failures[0] < faults.get(
+            "fail", 0
+        ):  # the write is on disk, but its outcome is reported as unknown
+            failures[0] += 1
             raise sqlite3.OperationalError("disk I/O error")
 
-    keeper_log.KeeperLog.write = slow
-    rate, real = wished(path).get("rate", 1.0), service.steady
-    began = real()
+    keeper_log.KeeperLog.write = write_with_faults
+    rate, real_clock = read_faults(path).get("rate", 1.0), service.steady
+    start = real_clock()
     if rate != 1.0:
-        service.steady = lambda: began + int((real() - began) * rate)
+        service.steady = lambda: start + int((real_clock() - start) * rate)
 
 
 if __name__ == "__main__":
--- a/standins/followers.py
+++ b/standins/followers.py
@@ -1,5 +1,6 @@
-"""Many followers of purges in one process, by the program's own feed and fence; what each knew when, as a
-history.
+"""Runs many purge followers in one process, with the program's own feed and fence.
+
+The history file gets a JSON line for each change of a follower's state.
 
     python -m standins.followers --site FILE --count 100 --history FILE [--forget SHARE] [--rude SHARE]
 """
@@ -20,70 +21,81 @@
 from hookrouter.site import follows, read
 from hookrouter.tables.deadlines import Deadlines
 
-LOOK = 0.02  # seconds between looks whether each may answer
-SPREAD = 0.0005  # seconds between two starts
+CHECK_INTERVAL = 0.02  # seconds between checks whether each follower may still answer
+START_INTERVAL = 0.0005  # seconds between the starts of two followers
 
 
 class Follower(PurgeFeed):
-    """desk of its own feed: a place, a fence, and rows of [wall ms, name, may answer, n, connected]."""
+    """A purge feed that handles its own events; writes rows [wall ms, name, may answer, n, connected].
+
+    forget: probability of losing its position when its connection ends. rude: without admission control.
+    """
 
-    def __init__(self, sections, name, history, dice, forget, rude, deadlines):
+    def __init__(self, sections, name, history, rng, forget, rude, deadlines):
         purges = sections["purges"]
         super().__init__(
             reactor, deadlines, self, follows(purges), purges, name, lambda *a, **k: None, lambda what: None
         )
         if "admission" in sections and not rude:
             self.pace()
-        self.fence, self.history, self.up, self.last_row = Fence(purges["lease"]), history, False, None
-        self.dice, self.forget = dice, forget
+        self.fence, self.history, self.connected, self.last_state = (
+            Fence(purges["lease"]),
+            history,
+            False,
+            None,
+        )
+        self.rng, self.forget_share = rng, forget
 
-    # ---- told by the feed
+    # ---- calls of the feed
 
     def purged(self, purges):
-        self.caught = len(purges) < MOST_IN_EVENT
-        self.look()
+        self.reached_end = len(purges) < MOST_IN_EVENT
+        self.record_state()
 
     def whole(self, purges, newest):
-        self.caught = True
-        self.look()
+        self.reached_end = True
+        self.record_state()
 
     def granted(self, asked, wall, span, desk):
         self.fence.at(steady())
         self.fence.granted(asked, span)
-        self.look()
+        self.record_state()
 
     def left(self):
         self.fence.at(steady())
         return self.fence.left()
 
     def came(self, stream, data):
-        before, self.caught = self.place.position, False
+        before, self.reached_end = self.place.position, False
         super().came(stream, data)
-        caught = self.caught or self.place.position == before  # a beat: nothing is behind it
-        if stream is self.stream and self.place.parts is None and caught and not self.up:
-            self.up = True
-            self.look()
+        reached_end = self.reached_end or self.place.position == before  # a heartbeat: no events are pending
+        if stream is self.stream and self.place.parts is None and reached_end and not self.connected:
+            self.connected = True
+            self.record_state()
 
     def went_down(self, stream, why):
-        if self.up:
-            self.up = False
-            if self.dice.random() < self.forget:  # as a router that was replaced
+        if self.connected:
+            self.connected = False
+            if (
+                self.rng.random() < self.forget_share
+            ):  # like a router that was replaced: only the epoch is kept
                 seen, self.place = self.place.seen, Place()
                 self.place.seen = seen
                 self.fence = Fence(self.fence.lease)
-            self.look()
+            self.record_state()
         super().went_down(stream, why)
 
-    def look(self):
+    def record_state(self):
+        """Writes a row to the history if the state has changed."""
         self.fence.at(steady())
-        row = self.fence.state == CURRENT, self.place.position.n, self.up
-        if row != self.last_row:
-            self.last_row = row
-            self.history.write(json.dumps([int(time.time() * 1_000), self.name, *row]) + "\n")
+        state = self.fence.state == CURRENT, self.place.position.n, self.connected
+        if state != self.last_state:
+            self.last_state = state
+            self.history.write(json.dumps([int(time.time() * 1_000), self.name, *state]) + "\n")
 
 
-class Desk:
-    """Whom the feed tells: the follower itself, but for the names that mean something else there."""
+class FeedListener:
+    """The listener of the feed: forwards to the follower, except for names with another meaning there."""
 
     def __init__(self, follower):
         self.follower = follower
@@ -92,7 +104,7 @@
         return getattr(self.follower, name)
 
     def heard(self, epoch):
-        """The feed keeps the epoch."""
+        """Does nothing; the feed keeps the epoch."""
 
     def place(self, n):
         return n, n
@@ -102,29 +114,31 @@
 @click.option("--site", required=True)
 @click.option("--count", default=100)
 @click.option("--history", required=True)
-@click.option("--forget", default=0.0, help="Share that has lost its place when its connection ends.")
-@click.option("--rude", default=0.0, help="Share that comes as if nothing was told.")
-@click.option("--prefix", default="f", help="Of the names.")
+@click.option(
+    "--forget", default=0.0, help="Share of followers that lose their position when the connection ends."
+)
+@click.option("--rude", default=0.0, help="Share of followers that ignore admission control.")
+@click.option("--prefix", default="f", help="Prefix of the followers' names.")
 def main(site, count, history, forget, rude, prefix):
-    sections, dice = read(site), Random(count)
+    sections, rng = read(site), Random(count)
     file = open(history, "w", encoding="utf-8", buffering=1)
     deadlines = Deadlines(reactor)
     followers = [
-        Follower(sections, f"{prefix}{n:03d}", file, dice, forget, dice.random() < rude, deadlines)
+        Follower(sections, f"{prefix}{n:03d}", file, rng, forget, rng.random() < rude, deadlines)
         for n in range(count)
     ]
-    for n, one in enumerate(followers):
-        one.desk = Desk(one)
-        if one.pacing is not None:
-            one.pacing.desk = one
-        reactor.callLater(n * SPREAD, one.start)
-
-    def look():
-        for one in followers:
-            one.look()
-        reactor.callLater(LOOK, look)
-
-    look()
+    for n, follower in enumerate(followers):
+        follower.desk = FeedListener(follower)
+        if follower.pacing is not None:
+            follower.pacing.desk = follower
+        reactor.callLater(n * START_INTERVAL, follower.start)
+
+    def check_all():
+        for follower in followers:
+            follower.record_state()
+        reactor.callLater(CHECK_INTERVAL, check_all)
+
+    check_all()
     signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(reactor.stop))
     print("following", file=sys.stderr, flush=True)
     reactor.run(installSignalHandlers=False)
--- a/standins/links.py
+++ b/standins/links.py
@@ -1,6 +1,6 @@
-"""Links between processes that can be cut: each a port that is passed on to another, both ways apart.
+"""A TCP proxy between two processes that can reset, blackhole or delay its connections.
 
-In a thread of whoever uses it. A link passes, is cut by reset, swallows silently one way or both, or delays.
+Each direction is controlled separately. The proxy runs in threads of the calling process.
 """
 
 import select
@@ -8,77 +8,79 @@
 import threading
 import time
 
-PIECE = 65_536
+CHUNK_SIZE = 65_536
 
 
 class Link:
-    """state: {True: way to the target, False: way back}: "pass" or "swallow"; delay in seconds of each
-    piece.
+    """Forwards connections from its own port to target, an address.
+
+    modes: "pass" or "swallow" for each direction, True being the one to the target. delay: seconds that each
+    chunk is held back.
     """
 
     def __init__(self, target):
-        self.target, self.ways, self.delay, self.closed = target, {True: "pass", False: "pass"}, 0.0, False
+        self.target, self.modes, self.delay, self.closed = target, {True: "pass", False: "pass"}, 0.0, False
         self.server = socket.create_server(("127.0.0.1", 0))
         self.port = self.server.getsockname()[1]
-        self.pairs, self.lock, self.bytes = [], threading.Lock(), 0
+        self.connections, self.lock, self.bytes = [], threading.Lock(), 0
         threading.Thread(target=self._accept, daemon=True).start()
 
     def _accept(self):
         while not self.closed:
             try:
-                came, _ = self.server.accept()
+                accepted, _ = self.server.accept()
                 try:
-                    went = socket.create_connection(self.target, 1.0)
+                    connected = socket.create_connection(self.target, 1.0)
                 except OSError:
-                    came.close()
+                    accepted.close()
                     continue
             except OSError:
                 return
             with self.lock:
-                self.pairs.append((came, went))
-            for source, sink, way in ((came, went, True), (went, came, False)):
-                threading.Thread(target=self._pass, args=(source, sink, way), daemon=True).start()
+                self.connections.append((accepted, connected))
+            for source, destination, forward in ((accepted, connected, True), (connected, accepted, False)):
+                threading.Thread(target=self._copy, args=(source, destination, forward), daemon=True).start()
 
-    def _pass(self, source, sink, way):
+    def _copy(self, source, destination, forward):
         try:
             while not self.closed:
                 if not select.select([source], [], [], 0.5)[0]:
                     continue
-                piece = source.recv(PIECE)
-                if not piece:
+                chunk = source.recv(CHUNK_SIZE)
+                if not chunk:
                     break
                 if self.delay:
                     time.sleep(self.delay)
-                self.bytes += len(piece)
-                if self.ways[way] == "pass":
-                    sink.sendall(piece)
+                self.bytes += len(chunk)
+                if self.modes[forward] == "pass":
+                    destination.sendall(chunk)
         except (OSError, ValueError):
             pass
-        for end in (source, sink):
+        for sock in (source, destination):
             try:
-                end.close()
+                sock.close()
             except OSError:
                 pass
 
-    def swallow(self, to=True, back=True):
-        """What goes that way is taken and lost; nothing is closed."""
-        self.ways = {True: "swallow" if to else "pass", False: "swallow" if back else "pass"}
+    def blackhole(self, forward=True, backward=True):
+        """Reads and drops all data of the given directions; connections stay open."""
+        self.modes = {True: "swallow" if forward else "pass", False: "swallow" if backward else "pass"}
 
     def reset(self):
-        """What is open ends by RST, between two bytes as it may be."""
+        """Ends all open connections with RST, possibly in the middle of a message."""
         with self.lock:
-            pairs, self.pairs = self.pairs, []
-        for pair in pairs:
-            for end in pair:
+            connections, self.connections = self.connections, []
+        for pair in connections:
+            for sock in pair:
                 try:
-                    end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
-                    end.close()
+                    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
+                    sock.close()
                 except OSError:
                     pass
 
     def heal(self):
-        """A stream that lost bytes can never be sound again: it ends."""
-        self.ways = {True: "pass", False: "pass"}
+        """Forwards data again; open connections are reset, since they may have lost bytes."""
+        self.modes = {True: "pass", False: "pass"}
         self.reset()
 
     def close(self):
--- a/standins/ports.py
+++ b/standins/ports.py
@@ -1,21 +1,24 @@
-"""Ports that nobody else gets meanwhile: below those that the system gives to outgoing connections."""
+"""Free ports for tests, below the range from which the system assigns ports to outgoing connections.
+
+So no other socket of the machine is given a port between its allocation here and its use.
+"""
 
 import os
 import socket
 
 FIRST, LAST = 11_000, 32_000
-APART = 997  # between the first ports of two processes that run beside each other
+PROCESS_STRIDE = 997  # distance between the first ports of processes with consecutive ids
 
 
 class Ports:
-    """Each port once in a run; free for streams and datagrams when it was given out."""
+    """Allocates each port once; a port is free for TCP and UDP when it is allocated."""
 
     def __init__(self) -> None:
-        """Begins at a port that depends on the process."""
-        self.next = FIRST + os.getpid() * APART % (LAST - FIRST)
+        """Starts at a port that depends on the process id, so that parallel processes rarely collide."""
+        self.next = FIRST + os.getpid() * PROCESS_STRIDE % (LAST - FIRST)
 
     def take(self) -> int:
-        """The next one; OSError where none is free."""
+        """Returns the next free port; raises OSError if there is none."""
         for _ in range(LAST - FIRST):
             port = self.next
             self.next = FIRST + (port + 1 - FIRST) % (LAST - FIRST)
@@ -27,8 +30,8 @@
 def _is_free(port: int) -> bool:
     try:
         for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
-            with socket.socket(socket.AF_INET, kind) as tried:
-                tried.bind(("127.0.0.1", port))
+            with socket.socket(socket.AF_INET, kind) as probe:
+                probe.bind(("127.0.0.1", port))
     except OSError:
         return False
     return True
@@ -38,5 +41,5 @@
 
 
 def free_port() -> int:
-    """A port that this process has given to nobody before."""
+    """Returns a free port that this process has not allocated before."""
     return _PORTS_OF_PROCESS.take()
--- a/standins/purge_rig.py
+++ b/standins/purge_rig.py
@@ -1,4 +1,7 @@
-"""A desk, a relay and many followers as processes on loopback; the desk is killed and returns are timed."""
+"""A test rig of a purge desk, a relay and many followers as processes on loopback.
+
+The desk is killed and the time until all followers have reconnected is measured.
+"""
 
 import http.client
 import json
@@ -18,51 +21,57 @@
 
 
 class PurgeRig:
-    """paced: whether the section [admission] is there. more: lines for [purges]."""
+    """Starts the processes, submits purges and reads the followers' histories.
+
+    paced: whether the configuration has the section [admission]. extra_purges: further lines of [purges].
+    """
 
-    def __init__(self, folder, paced=True, more=""):
-        self.folder, self.paced, self.more = Path(folder), paced, more
-        self.all, self.port, self.relay_port = [], free_port(), free_port()
-        self.acknowledged, self.stop_purging, self.purger = [], threading.Event(), None
+    def __init__(self, folder, paced=True, extra_purges=""):
+        self.folder, self.paced, self.extra_purges = Path(folder), paced, extra_purges
+        self.processes, self.port, self.relay_port = [], free_port(), free_port()
+        self.acknowledged, self.stop_purging, self.purge_thread = [], threading.Event(), None
         secret = self.folder / "secret"
         secret.write_text(SECRET)
         os.chmod(secret, 0o600)
         desk = f"[desk]\nlisten = 127.0.0.1:{self.port}\nstore = purges.db\n"
         relay = f"[relay]\nname = depot\nlisten = 127.0.0.1:{self.relay_port}\nstore = names\n"
-        self.link = Link(("127.0.0.1", self.relay_port))  # routers hang off the relay by it
+        self.link = Link(("127.0.0.1", self.relay_port))  # the followers of the relay connect through it
         self.sites = {
-            "desk": self._site("desk", desk),
-            "relay": self._site("relay", relay),
-            "direct": self._site("direct"),
-            "below": self._site("below", follow=self.link.port),
+            "desk": self._write_site_file("desk", desk),
+            "relay": self._write_site_file("relay", relay),
+            "direct": self._write_site_file("direct"),
+            "below": self._write_site_file("below", follow=self.link.port),
         }
 
-    def _site(self, name, more="", follow=None):
+    def _write_site_file(self, name, extra="", follow=None):
         path = self.folder / f"{name}.ini"
         path.write_text(
             f"[purges]\ndesk = 127.0.0.1:{self.port}\nsecret = secret\nlease = 2 s\n"
             "skew = 1 ms\n"
             + (f"follow = 127.0.0.1:{follow}\n" if follow else "")
-            + self.more
+            + self.extra_purges
             + ("[admission]\n" if self.paced else "")
-            + more
+            + extra
         )
         return str(path)
 
-    def start(self, *words, said, **environment):
-        """A process that has said so on its standard error, which is read away after that."""
+    def start(self, *arguments, ready_text, **environment):
+        """Starts a process and waits until a line of its standard error contains ready_text.
+
+        A thread drains the rest of its standard error. AssertionError if it ends before.
+        """
         process = subprocess.Popen(
-            [sys.executable, "-m", *words],
+            [sys.executable, "-m", *arguments],
             stderr=subprocess.PIPE,
             text=True,
             cwd=ROOT,
             env={**os.environ, **environment},
         )
-        self.all.append(process)
+        self.processes.append(process)
         process.lines = []
         for line in process.stderr:
             process.lines.append(line)
-            if said in line:
+            if ready_text in line:
                 break
         else:
             raise AssertionError(process.lines)
@@ -71,18 +80,18 @@
 
     def start_desk(self):
         return self.start(
-            "hookrouter", "purges", "serve", "--site", self.sites["desk"], said="serving purges"
+            "hookrouter", "purges", "serve", "--site", self.sites["desk"], ready_text="serving purges"
         )
 
     def start_relay(self):
         return self.start(
-            "hookrouter", "purges", "relay", "--site", self.sites["relay"], said="serving purges"
+            "hookrouter", "purges", "relay", "--site", self.sites["relay"], ready_text="serving purges"
         )
 
     def start_followers(self, count, site="direct", **options):
-        """The file of their history."""
-        path = str(self.folder / f"history{len(self.all)}")
-        words = [word for key, value in options.items() for word in (f"--{key}", str(value))]
+        """Starts a process of that many followers; returns the path of their history."""
+        path = str(self.folder / f"history{len(self.processes)}")
+        arguments = [word for key, value in options.items() for word in (f"--{key}", str(value))]
         self.start(
             "standins.followers",
             "--site",
@@ -91,8 +100,8 @@
             str(count),
             "--history",
             path,
-            *words,
-            said="following",
+            *arguments,
+            ready_text="following",
         )
         return path
 
@@ -111,8 +120,8 @@
                 None if body is None else json.dumps(body),
                 {"Authorization": f"Bearer {SECRET}"},
             )
-            got = connection.getresponse()
-            return got.status, json.loads(got.read())
+            response = connection.getresponse()
+            return response.status, json.loads(response.read())
         finally:
             connection.close()
 
@@ -120,7 +129,10 @@
         return self.call("GET", "/v1/status", port=port)[1]
 
     def submit(self, names):
-        """Under one key until it is accepted: the desk may be down meanwhile."""
+        """Submits purges with one idempotency key and retries until accepted, since the desk may be down.
+
+        Returns the desk's answer, None if there was none.
+        """
         body = {"key": uuid.uuid4().hex, "purges": [{"sort": "object", "what": name} for name in names]}
         for _ in range(200):
             try:
@@ -134,35 +146,38 @@
                 return None
         return None
 
-    def submit_many(self, many):
-        for at in range(0, many, 1_000):
-            self.submit([f"old{at + n}" for n in range(min(1_000, many - at))])
+    def submit_many(self, count):
+        for at in range(0, count, 1_000):
+            self.submit([f"old{at + n}" for n in range(min(1_000, count - at))])
 
-    def start_purges(self, every):
-        """Purges go on until stop_purges()."""
+    def start_purges(self, interval):
+        """Submits a purge every so many seconds, until stop_purges()."""
 
         def run():
             n = 0
-            while not self.stop_purging.wait(every):
+            while not self.stop_purging.wait(interval):
                 self.submit([f"new{n}"])
                 n += 1
 
-        self.purger = threading.Thread(target=run, daemon=True)
-        self.purger.start()
+        self.purge_thread = threading.Thread(target=run, daemon=True)
+        self.purge_thread.start()
 
     # ---- histories
 
     @staticmethod
     def read_history(path):
-        """[(wall ms, name, may answer, n, connected)] as far as written."""
+        """Returns the complete rows [wall ms, name, may answer, n, connected] of a history file."""
         with open(path, encoding="utf-8") as file:
             return [json.loads(line) for line in file if line.endswith("\n")]
 
     def wait_connected(self, path, count, within, since=0):
-        """Waits until so many are connected at once; wall ms of when the last came."""
-        until = time.monotonic() + within
+        """Waits until that many followers are connected at the same time, the last one since or later.
+
+        Returns the wall-clock ms at which the last one connected; AssertionError after within seconds.
+        """
+        deadline = time.monotonic() + within
         paths = [path] if isinstance(path, str) else path
-        while time.monotonic() < until:
+        while time.monotonic() < deadline:
             up = {}
             for at, name, _, _, connected in [row for one in paths for row in self.read_history(one)]:
                 up[name] = at if connected else None
@@ -172,7 +187,7 @@
         raise AssertionError(f"{sum(map(bool, up.values()))} of {count} are back after {within} s")
 
     def effect_times(self):
-        """[(n, wall ms from which it is in effect)] of what was acknowledged, as the desk states it."""
+        """Returns [(n, wall ms from which it is in effect)] of the last acknowledged purges, by the desk."""
         found = []
         for number in self.acknowledged[-200:]:
             _, facts = self.call("GET", f"/v1/purges/{number}")
@@ -182,23 +197,24 @@
         return found
 
     def stale_answers(self, path, slack=100):
-        """Whoever might answer at a place before a purge that was in effect: [(name, n, purge)]. slack: ms,
-        since a follower notes the end of its lease at its next look.
+        """Returns [(name, n, purge)] of followers that could answer before applying a purge in effect.
+
+        slack: ms of tolerance, since a follower records the end of its lease only at its next check.
         """
         effects, found, since = self.effect_times(), [], {}
         paths = [path] if isinstance(path, str) else path
-        for at, name, may, n, _ in [row for one in paths for row in self.read_history(one)]:
-            might, place = since.get(name, (False, 0))
-            since[name] = may, n
-            missed = [purge for purge, t in effects if purge > place and t + slack < at]
-            if might and missed:
+        for at, name, may_answer, n, _ in [row for one in paths for row in self.read_history(one)]:
+            could_answer, place = since.get(name, (False, 0))
+            since[name] = may_answer, n
+            missed = [purge for purge, effect_ms in effects if purge > place and effect_ms + slack < at]
+            if could_answer and missed:
                 found.append((name, place, missed[0]))
         return found
 
     def stop_purges(self):
         self.stop_purging.set()
-        if self.purger is not None:
-            self.purger.join()
+        if self.purge_thread is not None:
+            self.purge_thread.join()
 
     def __enter__(self):
         return self
@@ -207,6 +223,6 @@
         self.stop_purges()
         self.link.closed = True
         self.link.server.close()
-        for process in self.all:
+        for process in self.processes:
             process.kill()
             process.wait()
--- a/standins/register.py
+++ b/standins/register.py
@@ -1,7 +1,10 @@
-"""A resource that audits: it keeps each duty's highest number, refuses lower ones, and takes one step after
-the other.
+"""A resource protected by fencing tokens, with an audit log of all requests.
 
-python -m standins.register PORT FILE: a line of JSON in, one out; each that it took goes to FILE, a line.
+It keeps the highest fencing number of each duty, refuses requests with a lower one, and accepts the steps of
+a duty only in order, without gaps.
+
+python -m standins.register PORT FILE: reads one JSON request a line and answers with one JSON line; each
+request and its outcome are appended to FILE.
 """
 
 import json
@@ -12,23 +15,26 @@
 
 
 class Register:
+    """The highest number and the last step of each duty; out: the audit log."""
+
     def __init__(self, out):
         self.out, self.rows, self.lock = out, {}, threading.Lock()
 
-    def take(self, asked):
-        duty, number, step = asked["duty"], asked["number"], asked["step"]
+    def take(self, request):
+        """Accepts or refuses a request, logs it and returns the answer."""
+        duty, number, step = request["duty"], request["number"], request["step"]
         with self.lock:
             highest, last = self.rows.get(duty, (0, 0))
-            ok = number >= highest and step in (0, last + 1)
-            if ok:
+            accepted = number >= highest and step in (0, last + 1)
+            if accepted:
                 last = max(last, step)
                 self.rows[duty] = number, last
             print(
-                json.dumps({**asked, "ok": ok, "highest": highest, "at": time.monotonic()}),
+                json.dumps({**request, "ok": accepted, "highest": highest, "at": time.monotonic()}),
                 file=self.out,
                 flush=True,
             )
-            return {"duty": duty, "number": number, "ok": ok, "step": last}
+            return {"duty": duty, "number": number, "ok": accepted, "step": last}
 
 
 def serve(port, path):
@@ -40,7 +46,7 @@
                 for line in self.rfile:
                     self.wfile.write(json.dumps(register.take(json.loads(line))).encode() + b"\n")
             except OSError:
-                pass  # the owner died or was cut off: what was taken stands
+                pass  # the owner died or was cut off; accepted requests stay accepted
 
     class Server(socketserver.ThreadingTCPServer):
         allow_reuse_address = daemon_threads = True
--- a/standins/rig.py
+++ b/standins/rig.py
@@ -1,6 +1,4 @@
-"""A fleet of real processes on loopback: keepers and members, a link between each two, a register that
-audits.
-"""
+"""A test fleet of real processes on loopback: keepers, members, proxies between them and a register."""
 
 import json
 import os
@@ -16,37 +14,39 @@
 from .links import Link
 from .ports import free_port
 
-FULL = 16_384  # bytes of any file of a process whose disk is full: a few pages
-LAST_SAID = 500  # characters of a log
+FULL_DISK_LIMIT = 16_384  # bytes, the largest file of a process whose disk is simulated as full
+LOG_TAIL = 500  # characters of a log that are shown when a process has exited
 ROOT = Path(__file__).resolve().parent.parent
 
 
 class Rig:
-    """folder: for stores, files and logs. keepers: names; members: further names that bear duties only.
-    purges: the keepers bear the desk, and have a copy of the order each. sections: text that each one's file
-    ends with; streams then reach each by its advertised address, too.
+    """Starts, stops and disturbs the processes of a fleet; folder: for stores, configuration files and logs.
+
+    keepers, members: how many of each; members hold duties, but no replica of the lease table. purges: the
+    keepers also run the purge desk, each with a replica of the purge log. sections: text appended to each
+    configuration file; TCP connections then reach each process by its advertised address, too.
     """
 
     def __init__(
         self, folder, keepers=3, members=0, lease="1 s", purges=False, hold="24 h", sections="", zones=2
     ):
         self.folder, self.lease = Path(folder), lease
-        self.keepers = [f"k{n}" for n in range(keepers)]
-        self.names = [*self.keepers, *(f"m{n}" for n in range(members))]
+        self.keepers = [f"k{number}" for number in range(keepers)]
+        self.names = [*self.keepers, *(f"m{number}" for number in range(members))]
         self.ports = {name: free_port() for name in self.names}
         self.desk_ports = {name: free_port() for name in self.keepers} if purges else {}
         self.hold = hold
         self.links = {
-            (a, b): Link(("127.0.0.1", self.ports[b]))
-            for a, b in permutations(self.names, 2)
-            if b in self.keepers
+            (source, target): Link(("127.0.0.1", self.ports[target]))
+            for source, target in permutations(self.names, 2)
+            if target in self.keepers
         }
         self.sections, self.zones = sections, zones
         self.advertised_links = {
             name: Link(("127.0.0.1", self.ports[name])) for name in (self.names if sections else ())
         }
         self.datagram_proxy = DatagramProxy(
-            self.ports, at={name: link.port for name, link in self.advertised_links.items()}
+            self.ports, proxy_ports={name: link.port for name, link in self.advertised_links.items()}
         )
         self.register_port, self.audit = free_port(), self.folder / "audit.jsonl"
         self.secret = self.folder / "secret"
@@ -55,42 +55,46 @@
         if purges:
             (self.folder / "purges-secret").write_text("another secret for this rig")
             (self.folder / "purges-secret").chmod(0o600)
-        self.misbehaving = set()  # names whose disk or clock misbehaves, see set_disk_and_clock_faults()
-        self.processes, self.configs = {}, {}  # configs: name -> EDGE_CONFIG of one that runs lookups, too
-        self.register = subprocess.Popen(
+        self.fault_injected = set()  # names that run under standins.fault_injection
+        self.processes, self.configs = (
+            {},
+            {},
+        )  # configs: name -> EDGE_CONFIG of a process that serves lookups, too
+        self.register_process = subprocess.Popen(
             [sys.executable, "-m", "standins.register", str(self.register_port), str(self.audit)], cwd=ROOT
         )
         for name in self.names:
-            self._site(name)
+            self._write_site_file(name)
 
-    def _site(self, name):
+    def _write_site_file(self, name):
         keepers = ", ".join(
-            f"{k} 127.0.0.1:{self.ports[k] if k == name else self.links[name, k].port}" for k in self.keepers
+            f"{keeper} 127.0.0.1:{self.ports[keeper] if keeper == name else self.links[name, keeper].port}"
+            for keeper in self.keepers
         )
         store = f"store = {name}.db\n" if name in self.keepers else ""
-        seeds = ", ".join(f"127.0.0.1:{self.datagram_proxy.ports[k]}" for k in self.keepers)
+        seeds = ", ".join(f"127.0.0.1:{self.datagram_proxy.ports[keeper]}" for keeper in self.keepers)
         zone = f"z{self.names.index(name) % self.zones}"
         (self.folder / f"{name}.ini").write_text(
             f"[fleet]\nname = {name}\nlisten = 127.0.0.1:{self.ports[name]}\nkeepers = {keepers}\n"
             f"address = 127.0.0.1:{self.datagram_proxy.ports[name]}\nseeds = {seeds}\nzone = {zone}\n"
             f"secret = secret\n{store}lease = {self.lease}\ndrill = 127.0.0.1:{self.register_port}\n"
             + (
-                self.purges()
+                self.purges_section()
                 + f"[desk]\nlisten = 127.0.0.1:{self.desk_ports[name]}\nstore = {name}-purges.db\n"
                 if name in self.desk_ports
                 else ""
             )
             + self.sections
         )
-        if name == self.keepers[0]:  # commands reach each keeper itself
-            keepers = ", ".join(f"{k} 127.0.0.1:{self.ports[k]}" for k in self.keepers)
+        if name == self.keepers[0]:  # commands connect to the keepers directly, not through the proxies
+            keepers = ", ".join(f"{keeper} 127.0.0.1:{self.ports[keeper]}" for keeper in self.keepers)
             (self.folder / "people.ini").write_text(
                 f"[fleet]\nname = people\nlisten = 127.0.0.1:1\nkeepers = {keepers}\nsecret = secret\n"
-                + (self.purges() if self.desk_ports else "")
+                + (self.purges_section() if self.desk_ports else "")
             )
 
-    def purges(self):
-        """The section, as routers and people have it."""
+    def purges_section(self):
+        """Returns the section [purges] of routers, relays and operators' commands."""
         desks = ", ".join(f"127.0.0.1:{port}" for port in self.desk_ports.values())
         return (
             f"[purges]\ndesk = {desks}\nsecret = purges-secret\nlease = 1 s\nskew = 1 ms\n"
@@ -100,25 +104,25 @@
     def start(self, *names):
         for name in names or self.names:
             out = open(self.folder / f"{name}.log", "ab")
-            words = ["serve"] if name in self.configs else ["fleet", "serve"]
+            arguments = ["serve"] if name in self.configs else ["fleet", "serve"]
             program = ["hookrouter"]
-            if name in self.misbehaving:
+            if name in self.fault_injected:
                 program = ["standins.fault_injection", str(self.folder / f"{name}.shim")]
-            edge = {"EDGE_CONFIG": str(self.configs[name])} if name in self.configs else {}
+            environment = {"EDGE_CONFIG": str(self.configs[name])} if name in self.configs else {}
             self.processes[name] = subprocess.Popen(
-                [sys.executable, "-m", *program, *words, "--site", str(self.folder / f"{name}.ini")],
+                [sys.executable, "-m", *program, *arguments, "--site", str(self.folder / f"{name}.ini")],
                 cwd=ROOT,
                 stdout=out,
                 stderr=out,
-                env={**os.environ, **edge},
+                env={**os.environ, **environment},
             )
             out.close()
 
     def relay(self, name):
-        """A relay that follows whichever keeper has the desk; its address."""
+        """Starts a purge relay that follows the keeper that runs the desk; returns the relay's address."""
         port = free_port()
         (self.folder / f"{name}.ini").write_text(
-            self.purges()
+            self.purges_section()
             + f"[relay]\nname = {name}\nlisten = 127.0.0.1:{port}\nstore = {name}-members.json\n"
         )
         out = open(self.folder / f"{name}.log", "ab")
@@ -139,19 +143,27 @@
         out.close()
         return "127.0.0.1", port
 
-    def command(self, *words, group="fleet"):
-        """(exit code, what it printed)."""
-        ran = subprocess.run(
-            [sys.executable, "-m", "hookrouter", group, *words, "--site", str(self.folder / "people.ini")],
+    def command(self, *arguments, group="fleet"):
+        """Runs an operator's command; returns its exit code and its output."""
+        completed = subprocess.run(
+            [
+                sys.executable,
+                "-m",
+                "hookrouter",
+                group,
+                *arguments,
+                "--site",
+                str(self.folder / "people.ini"),
+            ],
             cwd=ROOT,
             capture_output=True,
             text=True,
             timeout=30,
         )
-        return ran.returncode, ran.stdout + ran.stderr
+        return completed.returncode, completed.stdout + completed.stderr
 
     def owners(self):
-        """{duty: row} as the leader has it, {} without one."""
+        """Returns {duty: row} from the leader, {} if there is no leader."""
         code, out = self.command("owners", "--json")
         return {row["duty"]: row for row in json.loads(out)} if code == 0 else {}
 
@@ -159,20 +171,23 @@
         code, out = self.command("status", "--json")
         return json.loads(out)
 
-    def wait(self, what, within=20.0):
-        """The first true value of what(); False where none came in time."""
-        end = time.monotonic() + within
-        while time.monotonic() < end:
-            found = what()
-            if found:
-                return found
+    def wait(self, condition, within=20.0):
+        """Polls condition() and returns its first true value, or False after that many seconds."""
+        deadline = time.monotonic() + within
+        while time.monotonic() < deadline:
+            value = condition()
+            if value:
+                return value
             time.sleep(0.1)
         return False
 
-    def set_disk_and_clock_faults(self, name, **wishes):
-        """What standins/fault_injection.py does to that process, from now on, or from its next start."""
-        self.misbehaving.add(name)
-        (self.folder / f"{name}.new").write_text(json.dumps(wishes))
+    def set_disk_and_clock_faults(self, name, **faults):
+        """Sets the faults of standins/fault_injection.py for a process.
+
+        They apply at once if it already runs under it, otherwise from its next start.
+        """
+        self.fault_injected.add(name)
+        (self.folder / f"{name}.new").write_text(json.dumps(faults))
         os.replace(self.folder / f"{name}.new", self.folder / f"{name}.shim")
 
     def kill(self, name):
@@ -180,14 +195,15 @@
         self.processes[name].wait()
 
     def fill_disk(self, name):
-        """A keeper's store cannot grow any more: its next write past the end fails with EFBIG."""
+        """Limits the size of a keeper's store: the next write beyond it fails with EFBIG."""
         size = (self.folder / f"{name}.db-wal").stat().st_size
-        self._room(name, max(1, min(size - size % 4096, FULL)))  # it may write from its file's begin again
+        # The limit is small because SQLite may write the WAL from its beginning again.
+        self._limit_file_size(name, max(1, min(size - size % 4096, FULL_DISK_LIMIT)))
 
     def free_disk(self, name):
-        self._room(name, resource.RLIM_INFINITY)
+        self._limit_file_size(name, resource.RLIM_INFINITY)
 
-    def _room(self, name, size):
+    def _limit_file_size(self, name, size):
         limits = size, resource.RLIM_INFINITY
         resource.prlimit(self.processes[name].pid, resource.RLIMIT_FSIZE, limits)
 
@@ -197,11 +213,14 @@
     def resume(self, name):
         self.processes[name].send_signal(signal.SIGCONT)
 
-    def between(self, name):
-        return [link for pair, link in self.links.items() if name in pair]
+    def links_of(self, name):
+        return [link for ends, link in self.links.items() if name in ends]
 
     def inject_fault(self, name, fault):
-        """kill, stop, disk (full), swallow (cut silently, both ways), one way (it hears, unheard)."""
+        """Injects a fault: "kill", "stop", "disk" (full), "swallow" or "one way".
+
+        "swallow" drops all data from and to the process, "one way" only what it sends.
+        """
         if fault == "kill":
             self.kill(name)
         elif fault == "stop":
@@ -209,13 +228,15 @@
         elif fault == "disk":
             self.fill_disk(name)
         else:
-            both = {"swallow": True, "one way": False}[fault]
-            for pair, link in self.links.items():
-                if name in pair:
-                    link.swallow(to=both or pair[0] == name, back=both or pair[1] == name)
+            both_ways = {"swallow": True, "one way": False}[fault]
+            for ends, link in self.links.items():
+                if name in ends:
+                    link.blackhole(
+                        forward=both_ways or ends[0] == name, backward=both_ways or ends[1] == name
+                    )
 
     def clear_fault(self, name, fault):
-        """The end of what strike began."""
+        """Ends a fault of inject_fault()."""
         if fault == "kill":
             self.start(name)
         elif fault == "stop":
@@ -223,11 +244,11 @@
         elif fault == "disk":
             self.free_disk(name)
         else:
-            for link in self.between(name):
+            for link in self.links_of(name):
                 link.heal()
 
     def audit_rows(self):
-        """What the register took or refused, in its order."""
+        """Returns the audit log of the register, accepted and refused requests in order."""
         return (
             [json.loads(line) for line in self.audit.read_text().splitlines()] if self.audit.exists() else []
         )
@@ -236,19 +257,19 @@
         return sum(1 for row in self.audit_rows() if row["duty"] == duty and row["ok"] and row["step"])
 
     def audit_violations(self):
-        """What the register's record breaks, in words."""
-        broken, highest, last = [], {}, {}
+        """Returns the violations in the audit log: numbers that decreased, steps out of order."""
+        violations, highest, last_step = [], {}, {}
         for row in self.audit_rows():
             if not row["ok"]:
                 continue
             duty, number, step = row["duty"], row["number"], row["step"]
             if number < highest.get(duty, 0):
-                broken.append(f"{duty}: {number} was taken after {highest[duty]}")
-            if step and step != last.get(duty, 0) + 1:
-                broken.append(f"{duty}: step {step} was taken after {last.get(duty, 0)}")
+                violations.append(f"{duty}: {number} was taken after {highest[duty]}")
+            if step and step != last_step.get(duty, 0) + 1:
+                violations.append(f"{duty}: step {step} was taken after {last_step.get(duty, 0)}")
             highest[duty] = number
-            last[duty] = step or last.get(duty, 0)
-        return broken
+            last_step[duty] = step or last_step.get(duty, 0)
+        return violations
 
     def stop(self):
         for process in self.processes.values():
@@ -261,16 +282,16 @@
             except subprocess.TimeoutExpired:
                 process.kill()
                 process.wait()
-        self.register.kill()
-        self.register.wait()
+        self.register_process.kill()
+        self.register_process.wait()
         for link in [*self.links.values(), *self.advertised_links.values()]:
             link.close()
         self.datagram_proxy.close()
 
     def exited_processes(self):
-        """{name: the last it said} of processes that are over: why a fleet does not come together."""
+        """Returns {name: end of its log} of the processes that have exited, to explain why a fleet fails."""
         return {
-            name: self.log(name)[-LAST_SAID:]
+            name: self.log(name)[-LOG_TAIL:]
             for name, process in self.processes.items()
             if process.poll() is not None
         }
@@ -281,6 +302,7 @@
 
 
 def holder(rig, duty):
+    """Returns the name of the current holder of a duty, None if there is none."""
     row = rig.owners().get(duty)
     return row["owner"].partition("#")[0] if row and row["owner"] else None
 
--- a/standins/sockets.py
+++ b/standins/sockets.py
@@ -1,7 +1,7 @@
-"""What the system has counted on each TCP connection of this machine, by the process that holds it.
+"""Traffic counters of the kernel for each TCP connection of this machine, and the sockets of a process.
 
-Asked of the kernel by sock_diag (netlink, no right needed): bytes and segments that carry data, both ways.
-A segment with data stands for a message: on loopback, without delay for more, each write is one or a few.
+They are read by sock_diag (netlink, without special rights): bytes and segments with data in both directions.
+A segment with data is counted as a message: on loopback without Nagle's delay each write is one or a few.
 """
 
 import os
@@ -11,38 +11,38 @@
 from typing import NamedTuple
 
 SOCK_DIAG = 4  # netlink family
-BY_FAMILY = 20  # the request for all sockets of a family
-DUMP = 0x301  # request, root, match
+SOCK_DIAG_BY_FAMILY = 20  # request type: all sockets of an address family
+DUMP_FLAGS = 0x301  # request, root, match
 DONE, ERROR = 3, 2  # kinds of netlink messages
-ESTABLISHED = 1 << 1  # in the set of TCP states
+ESTABLISHED = 1 << 1  # bit in the set of TCP states
 INFO = 2  # the attribute with struct tcp_info
-HEAD = struct.Struct("=IHHII")
+HEADER = struct.Struct("=IHHII")
 REQUEST = struct.Struct("=BBBxI48x")
-PORTS_AT, PORTS = 4, struct.Struct("!HH")  # in struct inet_diag_msg
-INODE_AT = 68  # in the same
+PORTS_OFFSET, PORTS = 4, struct.Struct("!HH")  # in struct inet_diag_msg
+INODE_OFFSET = 68  # in the same
 MESSAGE_LENGTH = 72  # of the same
 ATTRIBUTE = struct.Struct("=HH")
-BYTES_RECEIVED_AT, SEGMENTS_AT, BYTES_SENT_AT = 128, 152, 200  # in struct tcp_info
-PIECE = 1 << 20
+BYTES_RECEIVED_OFFSET, SEGMENTS_OFFSET, BYTES_SENT_OFFSET = 128, 152, 200  # in struct tcp_info
+RECEIVE_SIZE = 1 << 20
 
 
 class Counts(NamedTuple):
-    """Of one direction, or of several connections together."""
+    """Bytes and messages of one direction, or summed over several connections."""
 
     bytes: int = 0
     messages: int = 0
 
     def plus(self, other: "Counts") -> "Counts":
-        """Both together."""
+        """Returns the sum of both."""
         return Counts(self.bytes + other.bytes, self.messages + other.messages)
 
     def since(self, earlier: "Counts") -> "Counts":
-        """What came to it after an earlier look."""
+        """Returns the increase since an earlier reading."""
         return Counts(self.bytes - earlier.bytes, self.messages - earlier.messages)
 
 
 class Connection(NamedTuple):
-    """One end of an established connection, as the system has counted it."""
+    """One endpoint of an established connection, with the counters of the kernel."""
 
     inode: int
     local_port: int
@@ -52,22 +52,22 @@
 
 
 def connections() -> list[Connection]:
-    """All established TCP connections over IPv4."""
-    with socket.socket(socket.AF_NETLINK, socket.SOCK_DGRAM, SOCK_DIAG) as asked:
+    """Returns all established TCP connections over IPv4; raises OSError if the kernel refuses."""
+    with socket.socket(socket.AF_NETLINK, socket.SOCK_DGRAM, SOCK_DIAG) as netlink:
         body = REQUEST.pack(socket.AF_INET, socket.IPPROTO_TCP, 1 << (INFO - 1), ESTABLISHED)
-        asked.send(HEAD.pack(HEAD.size + len(body), BY_FAMILY, DUMP, 1, 0) + body)
+        netlink.send(HEADER.pack(HEADER.size + len(body), SOCK_DIAG_BY_FAMILY, DUMP_FLAGS, 1, 0) + body)
         found = []
         while True:
-            for kind, message in _messages(asked.recv(PIECE)):
+            for kind, message in _messages(netlink.recv(RECEIVE_SIZE)):
                 if kind == DONE:
                     return found
                 if kind == ERROR:
-                    raise OSError("the system does not tell of sockets")
+                    raise OSError("the kernel refused to list the sockets (sock_diag)")
                 found.append(_connection(message))
 
 
 def inodes(pid: int) -> set[int]:
-    """Of the sockets that a process holds; none where it has ended."""
+    """Returns the inodes of a process's sockets; an empty set if it has ended."""
     found = set()
     try:
         descriptors = list(os.scandir(f"/proc/{pid}/fd"))
@@ -77,35 +77,35 @@
         try:
             target = os.readlink(descriptor.path)
         except OSError:
-            continue  # closed meanwhile
+            continue  # was closed in the meantime
         if target.startswith("socket:["):
             found.add(int(target[8:-1]))
     return found
 
 
 def _messages(data: bytes) -> Iterator[tuple[int, bytes]]:
-    at = 0
-    while at + HEAD.size <= len(data):
-        length, kind, *_ = HEAD.unpack_from(data, at)
-        yield kind, data[at + HEAD.size : at + length]
-        at += length + 3 & ~3
+    offset = 0
+    while offset + HEADER.size <= len(data):
+        length, kind, *_ = HEADER.unpack_from(data, offset)
+        yield kind, data[offset + HEADER.size : offset + length]
+        offset += length + 3 & ~3
 
 
 def _connection(message: bytes) -> Connection:
-    local, peer = PORTS.unpack_from(message, PORTS_AT)
-    (inode,) = struct.unpack_from("=I", message, INODE_AT)
+    local, peer = PORTS.unpack_from(message, PORTS_OFFSET)
+    (inode,) = struct.unpack_from("=I", message, INODE_OFFSET)
     info = _attribute(message, INFO)
-    (received,) = struct.unpack_from("=Q", info, BYTES_RECEIVED_AT)
-    segments_in, segments_out = struct.unpack_from("=II", info, SEGMENTS_AT)
-    (sent,) = struct.unpack_from("=Q", info, BYTES_SENT_AT)
+    (received,) = struct.unpack_from("=Q", info, BYTES_RECEIVED_OFFSET)
+    segments_in, segments_out = struct.unpack_from("=II", info, SEGMENTS_OFFSET)
+    (sent,) = struct.unpack_from("=Q", info, BYTES_SENT_OFFSET)
     return Connection(inode, local, peer, Counts(sent, segments_out), Counts(received, segments_in))
 
 
 def _attribute(message: bytes, wanted: int) -> bytes:
-    at = MESSAGE_LENGTH
-    while at + ATTRIBUTE.size <= len(message):
-        length, kind = ATTRIBUTE.unpack_from(message, at)
+    offset = MESSAGE_LENGTH
+    while offset + ATTRIBUTE.size <= len(message):
+        length, kind = ATTRIBUTE.unpack_from(message, offset)
         if kind == wanted:
-            return message[at + ATTRIBUTE.size : at + length]
-        at += length + 3 & ~3
-    raise OSError("the system does not tell what a connection carried")
+            return message[offset + ATTRIBUTE.size : offset + length]
+        offset += length + 3 & ~3
+    raise OSError("the kernel's answer has no tcp_info for a connection")
--- a/tests/test_admission_network.py
+++ b/tests/test_admission_network.py
@@ -52,7 +52,7 @@
                 "serve",
                 "--site",
                 purge_rig.sites["direct" if n < 3 else "below"],
-                said="serving",
+                ready_text="serving",
                 EDGE_CONFIG=str(path),
                 EDGE_NAME=f"n{n}",
             )
