--- a/benchmarks/scale/snapshot.py
+++ b/benchmarks/scale/snapshot.py
@@ -89,9 +89,9 @@
     keepers = {carried[inode].local_port for found in held.values() for inode in found if inode in carried}
     kinds = {}
     for name, found in held.items():
-        desk, own = crowd.layout.desks[name], crowd.layout.real[name]
+        desk, own = crowd.layout.desks[name], crowd.layout.listen_port[name]
         for inode in found & carried.keys():
-            kind = _keeper_kind(carried[inode], desk, own, crowd.layout.real.values(), links, keepers)
+            kind = _keeper_kind(carried[inode], desk, own, crowd.layout.listen_port.values(), links, keepers)
             if kind is not None:
                 kinds[inode] = name, kind
     for name in (*crowd.layout.top_relays, *crowd.layout.zone_relays):
--- a/benchmarks/scale/window.py
+++ b/benchmarks/scale/window.py
@@ -4,7 +4,7 @@
 from statistics import fmean
 from typing import NamedTuple
 
-from standins.crowd.hollow import ReportFile
+from standins.crowd.hollow_routers import ReportFile
 from standins.crowd.region_crowd import RegionCrowd
 from standins.hollow.report import Report, RouterReport
 
@@ -75,7 +75,7 @@
         for by_itself in (False, True)
     )
     loaded, unloaded = (
-        mean_router((crowd.counted[name] for name in names), *span)
+        mean_router((crowd.report_files[name] for name in names), *span)
         for names in (crowd.loaded, crowd.unloaded)
     )
     plain = _cpu_of(crowd.plain, before, after)
@@ -173,7 +173,7 @@
         for kind in (KEEPER_STREAM, LOG):
             traffic = [moved.get((name, kind), Traffic()) for name in names]
             yield from _rate_rows(role, _mean_rates(kind, traffic, span))
-        view = mean_router((crowd.counted[name] for name in names), before.at, after.at)
+        view = mean_router((crowd.report_files[name] for name in names), before.at, after.at)
         if view is not None:
             rates = {key: rate for key, rate in view.rates.items() if key[0] == "view"}
             yield from _rate_rows(role, rates, whole=False)
--- a/standins/crowd/__init__.py
+++ b/standins/crowd/__init__.py
@@ -1,4 +1,4 @@
-"""Hundreds of real processes on loopback: routers, and stand-ins for all that they speak to."""
+"""A crowd: hundreds of real processes on loopback, the routers and stand-ins for the systems around them."""
 
 from .crowd import Crowd
 
--- a/standins/crowd/__main__.py
+++ b/standins/crowd/__main__.py
@@ -1,4 +1,4 @@
-"""python -m standins.crowd --routers 12 --seconds 5: a crowd, some faults, and a table of what came of it."""
+"""python -m standins.crowd --routers 12 --seconds 5: runs a crowd under load, prints the results."""
 
 import argparse
 import json
@@ -10,25 +10,29 @@
 
 from .crowd import Crowd
 
-LOOKUPS = 200  # a second for each parent: a fifth of what it can do
+LOOKUPS_PER_PARENT = 200  # a second for each parent, a fifth of its capacity
 
 
 def main():
-    words = argparse.ArgumentParser(prog="python -m standins.crowd", description=__doc__)
-    words.add_argument("--routers", type=int, default=12)
-    words.add_argument("--caches", type=int, default=8)
-    words.add_argument("--seconds", type=float, default=5.0)
-    words.add_argument("--rate", type=float, default=200.0, help="lookups a second over all routers")
-    words.add_argument("--fleet", action="store_true", help="routers are members, with three keepers")
-    words.add_argument("--faults", action="store_true", help="kill 7 of 12, one cache cold, cut a zone")
-    words.add_argument("--folder", help="for files and logs; else one that goes with the run")
-    given = words.parse_args()
-    signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))  # so that all of its processes are ended, too
-    with tempfile.TemporaryDirectory() as spare:
-        sections = {"fleet": {}} if given.fleet else None
-        parents = max(2, round(given.rate / LOOKUPS))
+    parser = argparse.ArgumentParser(prog="python -m standins.crowd", description=__doc__)
+    parser.add_argument("--routers", type=int, default=12)
+    parser.add_argument("--caches", type=int, default=8)
+    parser.add_argument("--seconds", type=float, default=5.0)
+    parser.add_argument("--rate", type=float, default=200.0, help="lookups a second over all routers")
+    parser.add_argument("--fleet", action="store_true", help="routers are members, with three keepers")
+    parser.add_argument("--faults", action="store_true", help="kill 7 of 12, one cache cold, cut a zone")
+    parser.add_argument("--folder", help="for files and logs; without it a temporary one")
+    arguments = parser.parse_args()
+    signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))  # so that its processes are ended, too
+    with tempfile.TemporaryDirectory() as temporary:
+        sections = {"fleet": {}} if arguments.fleet else None
+        parents = max(2, round(arguments.rate / LOOKUPS_PER_PARENT))
         with Crowd(
-            Path(given.folder or spare), given.routers, given.caches, parents=parents, sections=sections
+            Path(arguments.folder or temporary),
+            arguments.routers,
+            arguments.caches,
+            parents=parents,
+            sections=sections,
         ) as crowd:
             memory = crowd.processes.memory()
             figures = {
@@ -36,19 +40,19 @@
                 "admitted": crowd.ready(),
                 "memory_mb": round(sum(memory.values()) / len(memory), 1),
             }
-            crowd.load.start(given.seconds, given.rate)
-            if given.faults:
-                time.sleep(given.seconds / 4)
-                crowd.kill(*crowd.routers[: given.routers * 7 // 12])
+            crowd.load.start(arguments.seconds, arguments.rate)
+            if arguments.faults:
+                time.sleep(arguments.seconds / 4)
+                crowd.kill(*crowd.routers[: arguments.routers * 7 // 12])
                 crowd.caches.restart("c0")
-                if given.fleet:
+                if arguments.fleet:
                     crowd.links.cut_zone("z0")
-                time.sleep(given.seconds / 4)
-                if given.fleet:
+                time.sleep(arguments.seconds / 4)
+                if arguments.fleet:
                     crowd.links.heal()
-                crowd.start(*crowd.routers[: given.routers * 7 // 12])
-            crowd.load.wait(given.seconds + 30)
-            if given.fleet:
+                crowd.start(*crowd.routers[: arguments.routers * 7 // 12])
+            crowd.load.wait(arguments.seconds + 30)
+            if arguments.fleet:
                 figures["carried_bytes"] = sum(crowd.links.carried()["bytes"].values())
             figures.update((f"cpu_{what}_s", round(value, 1)) for what, value in crowd.cpu_seconds().items())
             verdict = crowd.verdict()
--- a/standins/crowd/cache_server.py
+++ b/standins/crowd/cache_server.py
@@ -1,13 +1,13 @@
-"""The listening port of one cache in HTTP/1.1, and how it fails: refused, reset, silent, never up."""
+"""The HTTP/1.1 server of one simulated cache, and its faults: refused, reset, silent or unreachable."""
 
 import asyncio
 import socket
 
 from . import objects
 from .cache_work import CacheRequest
-from .caches import DOWN
+from .caches import OVERLOAD_DOWN_SECONDS
 
-HEADS = {
+STATUS_LINES = {
     200: b"HTTP/1.1 200 OK\r\n",
     304: b"HTTP/1.1 304 Not Modified\r\n",
     404: b"HTTP/1.1 404 Miss\r\n",
@@ -17,10 +17,12 @@
     504: b"HTTP/1.1 504 Over\r\nX-Declined: 1\r\n",
 }
 BACKLOG = 512
-LONGEST = 300_000  # bytes of one request
+MAX_REQUEST = 300_000  # bytes of one request
 
 
 class Connection(asyncio.Protocol):
+    """One connection of a router; serves one request at a time."""
+
     def __init__(self, server):
         self.server, self.buffer, self.job, self.last_active = server, b"", None, 0.0
         self.transport = None
@@ -35,7 +37,7 @@
     def connection_lost(self, reason):
         self.server.connections.discard(self)
         if self.job is not None:
-            self.job.give_up()
+            self.job.cancel()
             self.job = None
 
     def data_received(self, data):
@@ -43,7 +45,7 @@
         self.buffer = self.buffer + data if self.buffer else data
         end = self.buffer.find(b"\r\n\r\n")
         if end < 0 or self.job is not None:
-            if len(self.buffer) > LONGEST:
+            if len(self.buffer) > MAX_REQUEST:
                 self.transport.abort()
             return
         lines = self.buffer[:end].decode("latin-1").split("\r\n")
@@ -55,58 +57,68 @@
         if len(self.buffer) < length:
             return
         self.buffer = self.buffer[length:]
-        self._asked(lines[0].split(" ")[1], fields)
+        self._handle_request(lines[0].split(" ")[1], fields)
 
-    def _asked(self, target, fields):
-        cache, words = self.server.cache, target.split("/")
+    def _handle_request(self, target, fields):
+        cache, segments = self.server.cache, target.split("/")
         if target in ("/ping", "/busy"):
             if cache.state == "up":
                 self._write(200, (f"X-Stats: {cache.load()}",) if target == "/busy" else ())
             return
         try:
-            request = CacheRequest(words[2], words[3], int(words[4]), fields["x-trace"], fields)
+            request = CacheRequest(segments[2], segments[3], int(segments[4]), fields["x-trace"], fields)
             objects.KINDS[request.kind]
         except (LookupError, ValueError):
-            self.server.void.append(target)
+            self.server.invalid_targets.append(target)
             self._write(500)
             return
-        if request.source is not None and request.source not in cache.others:
-            self.server.void.append(f"{target} from {request.source}")
+        if request.source is not None and request.source not in cache.caches:
+            self.server.invalid_targets.append(f"{target} from {request.source}")
         self.job = job = cache.serve(
-            request, lambda status, made, note: self._answered(request, status, made, note)
+            request, lambda status, created_ms, note: self._reply(request, status, created_ms, note)
         )
-        if job.over:
+        if job.ended:
             self.job = None
 
-    def _answered(self, request, status, made, note):
+    def _reply(self, request, status, created_ms, note):
         self.job = None
         if self.transport.is_closing():
             return
-        fields = [f"X-Stats: {self.server.cache.load()}"] if self.server.inline else []
+        fields = [f"X-Stats: {self.server.cache.load()}"] if self.server.report_inline else []
         body = b""
         if status == 200:
-            body = objects.body(request.kind, request.object, request.part, made)
-            fields += (f"X-Rev: {made:x}", f"X-Since-Ms: {made}", f"X-Result: {note}")
+            body = objects.body(request.kind, request.object, request.part, created_ms)
+            fields += (f"X-Rev: {created_ms:x}", f"X-Since-Ms: {created_ms}", f"X-Result: {note}")
         self._write(status, fields, body)
 
     def _write(self, status, fields=(), body=b""):
-        head = "".join(f"{field}\r\n" for field in fields)
-        self.transport.write(HEADS[status] + f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body)
+        header = "".join(f"{field}\r\n" for field in fields)
+        self.transport.write(
+            STATUS_LINES[status] + f"{header}Content-Length: {len(body)}\r\n\r\n".encode() + body
+        )
 
 
 class CacheServer:
-    """Owns the port, its connections and the cache behind it."""
+    """Owns the port of a cache and its connections.
 
-    def __init__(self, cache, port, idle, inline):
-        self.cache, self.port, self.idle, self.inline = cache, port, idle, inline
-        self.loop, self.connections, self.server, self.backlog_fillers, self.void = (
+    idle_timeout: seconds; report_inline: whether answers carry X-Stats.
+    """
+
+    def __init__(self, cache, port, idle_timeout, report_inline):
+        self.cache, self.port, self.idle_timeout, self.report_inline = (
+            cache,
+            port,
+            idle_timeout,
+            report_inline,
+        )
+        self.loop, self.connections, self.server, self.backlog_fillers, self.invalid_targets = (
             cache.loop,
             set(),
             None,
             [],
             [],
         )
-        cache.fall_hook = self.fall
+        cache.on_overload = self.crash
 
     async def open(self):
         if self.server is None:
@@ -114,8 +126,8 @@
                 lambda: Connection(self), "127.0.0.1", self.port, backlog=BACKLOG, reuse_address=True
             )
 
-    def shut(self):
-        """Connections are reset, new ones refused."""
+    def close_all(self):
+        """Resets all connections and refuses new ones."""
         if self.server is not None:
             self.server.close()
             self.server = None
@@ -125,20 +137,20 @@
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
                 connection.transport.abort()
 
-    def fall(self):
-        """Pushed over: gone for a moment, back as cold as before."""
+    def crash(self):
+        """Takes an overloaded cache down for OVERLOAD_DOWN_SECONDS; it is as cold as before afterwards."""
         self.cache.state = "down"
-        self.shut()
-        self.cache.empty()
-        self.loop.call_later(DOWN, self._stand_up)
+        self.close_all()
+        self.cache.clear_all()
+        self.loop.call_later(OVERLOAD_DOWN_SECONDS, self._recover)
 
-    def _stand_up(self):
+    def _recover(self):
         if self.cache.state == "down":
             self.cache.state = "up"
             self.loop.create_task(self.open())
 
     def vanish(self):
-        """Open connections stay open and silent, new ones never come up: the queue of the port is full."""
+        """Leaves open connections silent and lets new ones time out, by filling the listen backlog."""
         self.cache.state = "vanished"
         for connection in self.connections:
             connection.transport.pause_reading()
@@ -156,27 +168,27 @@
             self.backlog_fillers.append(filler)
 
     def hang(self):
-        """What is out is never answered, nor is what comes."""
+        """Answers neither the open lookups nor new ones."""
         self.cache.state = "hung"
         for job in list(self.cache.jobs):
             if job.timer is not None:
                 job.timer.cancel()
 
     async def heal(self):
-        """What was open is reset; it goes on with its copies."""
+        """Ends a fault: resets all connections and serves again with the copies it has."""
         for filler in self.backlog_fillers:
             filler.close()
         self.backlog_fillers = []
-        self.shut()
+        self.close_all()
         for job in list(self.cache.jobs):
-            job.give_up()
+            job.cancel()
         self.cache.fills.clear()
-        self.cache.state, self.cache.slow = "up", 1.0
+        self.cache.state, self.cache.slowdown = "up", 1.0
         await self.open()
 
-    def sweep(self):
-        """Connections that were idle for too long end."""
-        limit = self.loop.time() - self.idle
+    def close_idle(self):
+        """Closes connections that have been idle for too long."""
+        limit = self.loop.time() - self.idle_timeout
         for connection in list(self.connections):
             if connection.job is None and connection.last_active < limit and self.cache.state == "up":
                 connection.transport.close()
--- a/standins/crowd/cache_work.py
+++ b/standins/crowd/cache_work.py
@@ -1,8 +1,8 @@
-"""One lookup as a cache has it: what was asked, its time in work, and the fill that it waits for."""
+"""A lookup inside a cache: the request, its job, and the fill that it waits for."""
 
 
 class CacheRequest:
-    """One lookup as it came; who: the router's number, from the first digits of its id."""
+    """A lookup as received; router_number: from the first hex digits of its trace id."""
 
     __slots__ = (
         "kind",
@@ -21,57 +21,58 @@
 
     def __init__(self, kind, object_, part, trace, fields, filling=False):
         self.kind, self.object, self.part, self.trace, self.filling = kind, object_, part, trace, filling
-        self.who = int(trace[:4], 16) if trace[:4] else -1
+        self.router_number = int(trace[:4], 16) if trace[:4] else -1
         self.patience = int(fields.get("x-patience", 10_000)) / 1_000
-        self.source, self.limit = fields.get("x-origin-pick"), int(fields.get("x-stale-limit", 0))
-        self.words, self.fence = fields.get("x-do", "").split("+"), fields.get("x-fence")
+        self.source, self.stale_limit = fields.get("x-origin-pick"), int(fields.get("x-stale-limit", 0))
+        self.directives, self.fence = fields.get("x-do", "").split("+"), fields.get("x-fence")
         self.key = fields.get("x-op-key")
 
 
 class Job:
-    """One lookup in work; done(status, made, note) is called once, unless it was given up first."""
+    """A lookup in progress; calls on_done(status, created_ms, note) once, unless it is cancelled before."""
 
     __slots__ = ("cache", "done", "timer", "behind", "over")
 
-    def __init__(self, cache, done):
-        self.cache, self.done, self.timer, self.behind, self.over = cache, done, None, None, False
+    def __init__(self, cache, on_done):
+        self.cache, self.on_done, self.timer, self.fill, self.ended = cache, on_done, None, None, False
         cache.jobs.add(self)
 
-    def after(self, seconds, status, made=0, note=""):
+    def end_after(self, seconds, status, created_ms=0, note=""):
         loop = self.cache.loop
-        self.timer = loop.call_later(seconds, self.end, status, made, note)
+        self.timer = loop.call_later(seconds, self.end, status, created_ms, note)
 
-    def end(self, status, made=0, note=""):
-        if not self.over:
-            self.give_up()
-            self.done(status, made, note)
+    def end(self, status, created_ms=0, note=""):
+        if not self.ended:
+            self.cancel()
+            self.on_done(status, created_ms, note)
 
-    def give_up(self):
-        if not self.over:
-            self.over = True
+    def cancel(self):
+        if not self.ended:
+            self.ended = True
             self.cache.jobs.discard(self)
             if self.timer is not None:
                 self.timer.cancel()
-            if self.behind is not None:
-                self.behind.leave(self)
+            if self.fill is not None:
+                self.fill.leave(self)
 
 
 class Fill:
-    """One fetch from a source, and those who wait for it."""
+    """A fetch from a source and the jobs that wait for it."""
 
-    def __init__(self, cache, place):
-        self.cache, self.place, self.waiting, self.job = cache, place, [], None
+    def __init__(self, cache, copy_key):
+        self.cache, self.copy_key, self.waiting, self.job = cache, copy_key, [], None
 
     def join(self, job):
-        """It waits: it takes none of what the cache can do meanwhile."""
+        """Makes a job wait for this fill; a waiting job uses no capacity of the cache."""
         self.waiting.append(job)
-        job.behind = self
+        job.fill = self
         self.cache.idle += 1
 
     def leave(self, job):
+        """Removes a waiting job; the last one cancels the fetch."""
         if job in self.waiting:
             self.waiting.remove(job)
             self.cache.idle -= 1
             if not self.waiting and self.job is not None:
-                self.job.give_up()
-                self.cache.fills.pop(self.place, None)
+                self.job.cancel()
+                self.cache.fills.pop(self.copy_key, None)
--- a/standins/crowd/client_connection.py
+++ b/standins/crowd/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of clients to a router: framed Thrift, calls in flight, each answer counted once."""
+"""A client connection to a router: framed Thrift, pending calls, a check that each is answered once."""
 
 import asyncio
 import time
@@ -7,41 +7,41 @@
 
 from . import objects
 
-CROSSED = 0.05  # seconds before a close within which a request may have crossed it
+CLOSE_RACE_SECONDS = 0.05  # seconds before a close in which a request may not have been read
 
 
 class Connection(asyncio.Protocol):
-    """clients: told of ends. ended: a future for the end of the connection that is up."""
+    """One connection; clients receives the outcomes. ended: a future for its end."""
 
     def __init__(self, clients, router):
         self.clients, self.router = clients, router
-        self.up, self.away, self.open, self.seqid, self.transport = False, 0.0, {}, 0, None
+        self.is_up, self.cooldown_until, self.pending, self.seqid, self.transport = False, 0.0, {}, 0, None
         self.ended = None
 
     def connection_made(self, transport):
         self.transport, self.frames, self.seqid = transport, thrift.Frames(10_000_000), 1
-        self.open, self.done = {}, set()
+        self.pending, self.withdrawn = {}, set()
         self.ended = asyncio.get_running_loop().create_future()
         transport.write(
             b"".join(thrift.message(thrift.CALL, b"check", 1, thrift.field(thrift.BOOL, 1) + b"\x01\x00"))
         )
 
     def connection_lost(self, reason):
-        self.up = False
-        now, open_, self.open = time.time(), self.open, {}
-        for lookup in open_.values():
-            if reason is None and now - lookup.sent < CROSSED and not lookup.tries:
+        self.is_up = False
+        now, pending, self.pending = time.time(), self.pending, {}
+        for lookup in pending.values():
+            if reason is None and now - lookup.sent < CLOSE_RACE_SECONDS and not lookup.tries:
                 lookup.tries = 1
-                asyncio.get_running_loop().call_soon(self._again, lookup)
+                asyncio.get_running_loop().call_soon(self._resend, lookup)
             else:
                 self.clients.end(lookup, "lost")
-        if not self.ended.done():
+        if not self.ended.withdrawn():
             self.ended.set_result(None)
 
-    def _again(self, lookup):
-        """A request that crossed an idle connection's close goes out once more, on another."""
+    def _resend(self, lookup):
+        """Sends a request that raced with the close of an idle connection once more, on another one."""
         for other in self.router.connections:
-            if other.up and not lookup.over:
+            if other.is_up and not lookup.ended:
                 other.send(lookup)
                 return
         self.clients.end(lookup, "unsent")
@@ -58,10 +58,10 @@
         }
         if objects.KINDS[lookup.kind][0] == "guarded":
             fields["replay"] = lookup.key
-        if lookup.dup:
+        if lookup.is_duplicate:
             fields["dup"] = "1"
         self.seqid += 1
-        self.open[self.seqid] = lookup
+        self.pending[self.seqid] = lookup
         struct = (
             thrift.field(thrift.MAP, 1)
             + thrift.fields_of(fields)
@@ -72,14 +72,14 @@
         self.transport.write(b"".join(thrift.message(thrift.CALL, b"execute", self.seqid, struct)))
         lookup.sent = time.time()
 
-    def withdraw(self, lookup, how):
-        """It is not waited for any more."""
-        if lookup.over:
+    def withdraw(self, lookup, outcome):
+        """Stops waiting for a lookup and sends the router an interrupt for it."""
+        if lookup.ended:
             return
-        for seqid, held in self.open.items():
-            if held is lookup:
-                del self.open[seqid]
-                self.done.add(-seqid)  # an answer that crosses is no second one
+        for seqid, pending_lookup in self.pending.items():
+            if pending_lookup is lookup:
+                del self.pending[seqid]
+                self.withdrawn.add(-seqid)  # its answer may be on the way and is not a duplicate
                 self.transport.write(
                     b"".join(
                         thrift.message(
@@ -91,33 +91,33 @@
                     )
                 )
                 break
-        self.clients.end(lookup, how)
+        self.clients.end(lookup, outcome)
 
     def data_received(self, data):
         try:
             for frame in self.frames.feed(data):
-                self._came(thrift.Message(frame))
+                self._handle_message(thrift.Message(frame))
         except thrift.Malformed as wrong:
-            self.clients.bad.append((str(wrong), self.router.name))
+            self.clients.corrupt.append((str(wrong), self.router.name))
             self.transport.abort()
 
-    def _came(self, message):
+    def _handle_message(self, message):
         struct = None if message.kind == thrift.EXCEPTION else message.arguments()
         if message.name == b"check":
-            good = struct is not None and bool(struct.get(0, {}).get(3))
-            self.up = good
-            if good:
+            ready = struct is not None and bool(struct.get(0, {}).get(3))
+            self.is_up = ready
+            if ready:
                 self.router.admitted = True
             else:
                 self.transport.close()
             return
-        lookup = self.open.pop(message.seqid, None)
+        lookup = self.pending.pop(message.seqid, None)
         if lookup is None:
-            if -message.seqid in self.done:
-                self.done.remove(-message.seqid)
+            if -message.seqid in self.withdrawn:
+                self.withdrawn.remove(-message.seqid)
             else:
-                self.clients.twice.append((message.seqid, self.router.name))
+                self.clients.duplicates.append((message.seqid, self.router.name))
             return
         if struct is not None and 1 in struct and struct[1].get(1, {}).get(b"cooldown"):
-            self.away = time.time() + int(struct[1][1][b"cooldown"]) / 1_000
+            self.cooldown_until = time.time() + int(struct[1][1][b"cooldown"]) / 1_000
         self.clients.answered(lookup, struct)
--- a/standins/crowd/crowd.py
+++ b/standins/crowd/crowd.py
@@ -1,4 +1,4 @@
-"""A whole fleet of real processes: routers, keepers, caches, feed, clients, and links between members."""
+"""A fleet of real processes: routers, keepers, caches, feed, clients, and a relay between members."""
 
 import signal
 import time
@@ -10,18 +10,20 @@
 from .settings import TIMES
 from .verdict import SLACK, Verdict
 
-IDLE = 8.0  # seconds after which a cache closes an idle connection: two more than routers keep one
+IDLE = 8.0  # seconds after which a cache closes an idle connection, two more than a router does
 
 
 class Crowd:
-    """folder: for files and logs. routers, caches: how many; both go to zones z0, z1, ... in turn.
-
-    sections: {section: {key: value}} of the routers' file, {name} and {zone} put in; with "fleet" in it (may
-    be {}) there are three keepers (fleet serve) and the relay between all; None: no file. platform: the
-    settings forbid talk. report: how caches tell their load: off, inline, on_probe. more: cache settings
-    (room in KB, weight, parent_weight, origin_weight), times (see settings.TIMES), and hollow, direct and
-    desk (see Layout; hollow routers are run by whoever asked for them). program(name): what runs in place
-    of `python -m hookrouter`. layout: one made before, in place of all that says how many.
+    """Starts and ends the processes of a fleet; a context manager.
+
+    folder: for files and logs. routers, caches: how many; both are spread over the zones z0, z1, ...
+    sections: {section: {key: value}} of the routers' file, in which {name} and {zone} are replaced. With
+    "fleet" in it (which may be {}) there are three keepers (fleet serve) and the relay between all members.
+    None: no file. platform: whether the settings forbid traffic between routers. report: how caches report
+    their load: off, inline, on_probe. options: settings of the caches (room in KB, weight, parent_weight,
+    origin_weight), times (see settings.TIMES), and hollow, direct and desk (see Layout; the caller starts
+    hollow routers). program(name): module and arguments to run instead of `hookrouter`. layout: an existing
+    layout, in place of all arguments about numbers and sections.
     """
 
     def __init__(
@@ -40,16 +42,22 @@
         program=lambda name: ("hookrouter",),
         keepers=KEEPERS,
         layout=None,
-        **more,
+        **cache_options,
     ):
-        self.times = {key: more.pop(key, value) for key, value in TIMES.items()}
-        self.layout = lay = layout or Layout(
-            folder, routers, caches, zones, parents, sections, keeper_sections, keepers, **more
+        self.times = {key: cache_options.pop(key, value) for key, value in TIMES.items()}
+        self.layout = fleet_layout = layout or Layout(
+            folder, routers, caches, zones, parents, sections, keeper_sections, keepers, **cache_options
+        )
+        self.folder, self.zones, self.zone = fleet_layout.folder, fleet_layout.zones, fleet_layout.zone
+        self.routers, self.keepers, self.members = (
+            fleet_layout.routers,
+            fleet_layout.keepers,
+            fleet_layout.members,
         )
-        self.folder, self.zones, self.zone = lay.folder, lay.zones, lay.zone
-        self.routers, self.keepers, self.members = lay.routers, lay.keepers, lay.members
         self.platform, self.report, self.seed, self.connections = platform, report, seed, connections
-        self.processes = Processes(self.folder, lay.words, self._environment, lay.port.get, program)
+        self.processes = Processes(
+            self.folder, fleet_layout.command_arguments, self._environment, fleet_layout.port.get, program
+        )
         self.remotes, self.links = [], None
 
     # ---- start and end
@@ -66,21 +74,21 @@
         self.end()
 
     def _begin(self):
-        lay = self.layout
+        layout = self.layout
         self.caches = self._caches()
-        if self.members and not lay.direct:
-            self.links = RemoteCommands(self._remote("relay", {**lay.links(), "seed": self.seed}))
-        lay.write()
-        begun = time.monotonic()
+        if self.members and not layout.direct:
+            self.links = RemoteCommands(self._remote("relay", {**layout.relay_spec(), "seed": self.seed}))
+        layout.write()
+        started = time.monotonic()
         self.start(*self.keepers)
         self.start(*self.routers)
-        self.ready_after = time.monotonic() - begun
-        clients = {"routers": lay.port, "seed": self.seed, "connections": self.connections}
+        self.ready_after = time.monotonic() - started
+        clients = {"routers": layout.port, "seed": self.seed, "connections": self.connections}
         self.load = Load(self._remote("clients", clients), self.folder)
 
     def _caches(self):
         world = {
-            "caches": self.layout.rows,
+            "caches": self.layout.cache_rows,
             "doors": self.layout.feed_port,
             "terms": {**self.times, "origin": "o0"},
             "idle": IDLE,
@@ -99,13 +107,13 @@
         return {"EDGE_CONFIG": self.layout.configure(name, known, self.platform, self.report, self.times)}
 
     def end(self):
-        """All processes, by id; nothing is left, whatever went wrong before."""
+        """Ends all processes, even after a failed start."""
         self.processes.end()
         for remote in reversed(self.remotes):
             remote.end()
         self.remotes = []
 
-    # ---- routers and keepers, by id
+    # ---- routers and keepers, by name
 
     def start(self, *names):
         self.processes.start(names)
@@ -125,7 +133,7 @@
         self.processes.signal(names, signal.SIGCONT, "cont")
 
     def ready(self, names=None, within=30.0):
-        """Whether clients have been let in at each of these routers, or all, in that time."""
+        """Whether each of these routers, or all, admits clients within that many seconds."""
         wanted, end = set(names or self.routers), time.monotonic() + within
         while not wanted <= set(self.load.admitted()):
             if time.monotonic() > end:
@@ -134,7 +142,7 @@
         return True
 
     def cpu_seconds(self):
-        """Seconds of processor time so far: of all routers and keepers that live, and of each stand-in."""
+        """Returns the CPU seconds so far: of all live routers and keepers together, and of each stand-in."""
         return {
             "program": sum(cpu(self.processes.by_name[name].pid) for name in self.processes.alive()),
             **{remote.module: cpu(remote.process.pid) for remote in self.remotes},
@@ -144,6 +152,6 @@
         return self.processes.counters(names or self.routers)
 
     def verdict(self, slack=SLACK):
-        """What came of it so far, and the rules that it broke: see verdict.py."""
+        """Returns the results so far and the broken rules, see verdict.py."""
         tables = self.load.table(), self.caches.tables(), self.caches.told()
         return Verdict(*tables, self.processes.events, slack)
--- a/standins/crowd/processes.py
+++ b/standins/crowd/processes.py
@@ -1,4 +1,4 @@
-"""Processes of the program: started some at a time until each is ready, struck by id, ended in any case."""
+"""Processes of the program: started in batches, awaited until ready, signalled by name, and ended."""
 
 import os
 import signal
@@ -11,13 +11,13 @@
 
 from .remote import ROOT
 
-AT_A_TIME = 8
+MAX_PARALLEL_STARTS = 8
 CHECK = b"".join(thrift.message(thrift.CALL, b"check", 1, thrift.field(thrift.BOOL, 1) + b"\x01\x00"))
-END_WITHIN = 8.0  # seconds after SIGTERM
+TERM_TIMEOUT = 8.0  # seconds after SIGTERM
 
 
-def checked(port):
-    """Whether the router at that port says that it is ready."""
+def is_ready(port):
+    """Whether the router at that port answers a check call with ready."""
     try:
         with socket.create_connection(("127.0.0.1", port), 0.5) as connection:
             connection.sendall(CHECK)
@@ -31,36 +31,38 @@
 
 
 def cpu(pid):
-    """Seconds of processor time that a process has had."""
+    """Returns the CPU seconds of a process."""
     with open(f"/proc/{pid}/stat") as stat:
-        words = stat.read().rpartition(")")[2].split()
-    return (int(words[11]) + int(words[12])) / os.sysconf("SC_CLK_TCK")
+        arguments = stat.read().rpartition(")")[2].split()
+    return (int(arguments[11]) + int(arguments[12])) / os.sysconf("SC_CLK_TCK")
 
 
 class Processes:
-    """program(name): module and words before those of the command, words(name); environment(name): more of
-    it; port(name): where lookups go, or None.
+    """Starts `python -m program(name) arguments(name)` for each name.
+
+    environment(name): additional variables. port(name): port of lookups, None for a process without one.
+    events: (Unix s, "start" or a signal, name).
     """
 
-    def __init__(self, folder, words, environment, port, program):
-        self.folder, self.words, self.environment, self.port = folder, words, environment, port
+    def __init__(self, folder, arguments, environment, port, program):
+        self.folder, self.arguments, self.environment, self.port = folder, arguments, environment, port
         self.program, self.by_name, self.events, self.ready_seconds = program, {}, [], {}
 
     def start(self, names):
-        """As many at a time as there are cores to start them; RuntimeError where one ends."""
-        waiting, begun = list(names), {}
-        while waiting or begun:
-            while waiting and len(begun) < AT_A_TIME:
+        """Starts MAX_PARALLEL_STARTS processes at a time; RuntimeError if one ends or is not ready."""
+        waiting, starting = list(names), {}
+        while waiting or starting:
+            while waiting and len(starting) < MAX_PARALLEL_STARTS:
                 name = waiting.pop(0)
-                begun[name] = time.monotonic()
+                starting[name] = time.monotonic()
                 self._start(name)
-            for name, since in list(begun.items()):
+            for name, since in list(starting.items()):
                 if self.by_name[name].poll() is not None:
                     raise RuntimeError(f"{name} has ended: {self.log(name)[-500:]}")
                 port = self.port(name)
-                if port is None or checked(port):
+                if port is None or is_ready(port):
                     self.ready_seconds[name] = time.monotonic() - since
-                    del begun[name]
+                    del starting[name]
                 elif time.monotonic() > since + 60:
                     raise RuntimeError(f"{name} is not ready after 60 s: {self.log(name)[-500:]}")
             time.sleep(0.02)
@@ -68,7 +70,7 @@
     def _start(self, name):
         with open(self.folder / f"{name}.log", "ab") as out:
             self.by_name[name] = subprocess.Popen(
-                [sys.executable, "-m", *self.program(name), *self.words(name)],
+                [sys.executable, "-m", *self.program(name), *self.arguments(name)],
                 cwd=ROOT,
                 stdout=out,
                 stderr=out,
@@ -77,10 +79,10 @@
             )
         self.events.append((time.time(), "start", name))
 
-    def signal(self, names, number, what):
+    def signal(self, names, signal_number, event):
         for name in names:
-            self.events.append((time.time(), what, name))
-            self.by_name[name].send_signal(number)
+            self.events.append((time.time(), event, name))
+            self.by_name[name].send_signal(signal_number)
 
     def kill(self, names):
         self.signal(names, signal.SIGKILL, "kill")
@@ -88,9 +90,9 @@
             self.by_name[name].wait()
 
     def term(self, names):
-        """As at a planned restart; returns exit codes."""
+        """Sends SIGTERM, as for a planned restart; returns {name: exit code}."""
         self.signal(names, signal.SIGTERM, "term")
-        return {name: self.by_name[name].wait(END_WITHIN) for name in names}
+        return {name: self.by_name[name].wait(TERM_TIMEOUT) for name in names}
 
     def alive(self):
         return [name for name, process in self.by_name.items() if process.poll() is None]
@@ -100,7 +102,7 @@
         return path.read_text(errors="replace") if path.exists() else ""
 
     def memory(self):
-        """MB of each that lives, as the system counts what is resident."""
+        """Returns the resident MB of each live process."""
         found = {}
         for name in self.alive():
             with open(f"/proc/{self.by_name[name].pid}/status") as status:
@@ -110,7 +112,7 @@
         return found
 
     def counters(self, names=None, within=5.0):
-        """{name: {counter: value}}, as each tells on SIGUSR1."""
+        """Returns {name: {counter: value}}, as each process logs them on SIGUSR1."""
         names = [name for name in self.alive() if names is None or name in names]
         before = {name: len(self.log(name)) for name in names}
         for name in names:
@@ -119,10 +121,10 @@
         while len(found) < len(names) and time.monotonic() < end:
             time.sleep(0.05)
             for name in names:
-                told = self.log(name)[before[name] :]
-                if name not in found and "copy_bytes_held" in told and told.endswith("\n"):
+                output = self.log(name)[before[name] :]
+                if name not in found and "copy_bytes_held" in output and output.endswith("\n"):
                     found[name] = {}
-                    for line in told.splitlines():
+                    for line in output.splitlines():
                         word, _, value = line.rpartition(" ")
                         word = word.rpartition(" ")[2]
                         if value.lstrip("-").isdigit():
@@ -134,7 +136,7 @@
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
                 process.terminate()
-        until = time.monotonic() + END_WITHIN
+        until = time.monotonic() + TERM_TIMEOUT
         for process in self.by_name.values():
             try:
                 process.wait(max(0.01, until - time.monotonic()))
--- a/standins/crowd/region_crowd.py
+++ b/standins/crowd/region_crowd.py
@@ -1,4 +1,4 @@
-"""A fleet of regions as real processes: control machines, relays, routers, some of them hollow."""
+"""A fleet of several regions as real processes: control machines, relays, real and hollow routers."""
 
 import time
 from collections.abc import Callable
@@ -8,25 +8,24 @@
 from .crowd import Crowd
 from .desk_client import DeskClient
 from .handles import Load
-from .hollow import HollowGroup, HollowRouters, ReportFile
+from .hollow_routers import HollowGroup, HollowRouters, ReportFile
 from .regions import PURGES_SECRET, Plan, RegionLayout
 
-LOOK_EVERY = 0.1  # seconds between looks whether something has come about
-MEANWHILE_EVERY = 10.0  # seconds between two calls in a long wait
-REAL_REPORT_EVERY = "0.5"  # seconds, of the real routers and keepers that are counted
+POLL_INTERVAL = 0.1  # seconds between checks of a condition
+MEANWHILE_INTERVAL = 10.0  # seconds between two calls of meanwhile() in a long wait
+REAL_REPORT_INTERVAL = "0.5"  # seconds between reports of real routers and keepers
 READY_WITHIN = 30.0  # seconds for each step of the start
 
 
 class NotReady(RuntimeError):
-    """A step of the start did not come about in its time; the text names it."""
+    """A step of the start was not completed in time; the text names it."""
 
 
 class RegionCrowd(Crowd):
-    """As Crowd, by a plan. routers: the real ones of the fleet; plain: those that are no part of it.
+    """A crowd laid out by a plan. routers: the real ones of the fleet; plain: those that are not part of it.
 
-    loaded: how many of the real routers get lookups, the first ones.
-    in_process: hollow routers a process. delay: seconds one way between a region and the control machines.
-    tell(text): what is being started, for a person.
+    loaded: how many of the real routers get lookups, the first ones. routers_per_process: of hollow routers.
+    delay: seconds one way between a region and the control machines. tell(text): reports progress.
     """
 
     def __init__(
@@ -34,12 +33,12 @@
         folder: Path,
         plan: Plan,
         loaded: int,
-        in_process: int,
+        routers_per_process: int,
         delay: float,
         seed: int = 1,
         tell: Callable[[str], None] = lambda text: None,
     ) -> None:
-        """Nothing is started yet, and no file written."""
+        """Starts no process and writes no file yet."""
         layout = RegionLayout(folder, plan)
         super().__init__(
             folder,
@@ -55,15 +54,19 @@
         self.loaded, self.unloaded = self.routers[:loaded], self.routers[loaded:]
         self.alone: list[HollowGroup] = []
         self.region_links: dict[str, Any] = {}
-        self.hollow = HollowRouters(layout, seed, in_process)
-        self.counted = {
+        self.hollow = HollowRouters(layout, seed, routers_per_process)
+        self.report_files = {
             name: ReportFile(layout.folder / f"{name}.reports") for name in (*self.routers, *self.keepers)
         }
         self.desk = DeskClient(list(layout.desks.values()), PURGES_SECRET)
 
     def _program(self, name: str) -> tuple[str, ...]:
-        if name in self.counted:
-            return "standins.hollow.counted", str(self.layout.folder / f"{name}.reports"), REAL_REPORT_EVERY
+        if name in self.report_files:
+            return (
+                "standins.hollow.counted",
+                str(self.layout.folder / f"{name}.reports"),
+                REAL_REPORT_INTERVAL,
+            )
         return ("hookrouter",)
 
     def _environment(self, name: str) -> dict[str, str]:
@@ -72,12 +75,12 @@
     # ---- start and end
 
     def _begin(self) -> None:
-        layout, begun = self.layout, time.monotonic()
+        layout, started = self.layout, time.monotonic()
         self.caches = self._caches()
         for region in layout.regions:
             folder = layout.folder / region
             folder.mkdir()
-            spec = {**layout.region_link(region), "seed": self.seed}
+            spec = {**layout.region_relay_spec(region), "seed": self.seed}
             self.region_links[region] = self._remote("relay", spec, folder)
             self._delay(region)
         layout.write()
@@ -97,71 +100,71 @@
             "connections": self.connections,
         }
         self.load = Load(self._remote("clients", clients), self.folder)
-        self.ready_after = time.monotonic() - begun
+        self.ready_after = time.monotonic() - started
 
     def end(self) -> None:
-        """All processes, by id, hollow ones first; nothing is left, whatever went wrong before."""
+        """Ends all processes, hollow routers first, even after a failed start."""
         self.desk.close()
         self.hollow.end()
         super().end()
 
     def wait(
         self,
-        what: str,
-        found: Callable[[], Any],
+        description: str,
+        condition: Callable[[], Any],
         within: float = READY_WITHIN,
         meanwhile: Callable[[], None] | None = None,
     ) -> Any:
-        """The first true value of found(); NotReady where none comes in time. meanwhile: see grow."""
-        begun = called = time.monotonic()
-        while not (value := found()):
+        """Returns the first true value of condition(); NotReady after a timeout. meanwhile: see grow."""
+        started = last_call = time.monotonic()
+        while not (value := condition()):
             now = time.monotonic()
-            if now > begun + within:
-                raise NotReady(f"{what} is not there after {within:g} s")
-            if meanwhile is not None and now > called + MEANWHILE_EVERY:
+            if now > started + within:
+                raise NotReady(f"{description} is not there after {within:g} s")
+            if meanwhile is not None and now > last_call + MEANWHILE_INTERVAL:
                 meanwhile()
-                called = now
-            time.sleep(LOOK_EVERY)
+                last_call = now
+            time.sleep(POLL_INTERVAL)
         return value
 
     def grow(
         self, hollow: int, within: float = 2 * READY_WITHIN, meanwhile: Callable[[], None] | None = None
     ) -> None:
-        """Until there are so many hollow routers, all with a lease, and all see all alive.
+        """Starts hollow routers up to that number and waits until all have a lease and see all members alive.
 
-        meanwhile: called each MEANWHILE_EVERY seconds of the wait, for what must not go unseen that long.
+        meanwhile: called every MEANWHILE_INTERVAL seconds of the wait, for checks that cannot wait that long.
         """
         if not self.hollow.groups and self.plan.alone:
-            self.alone = self.hollow.start(self.plan.alone, in_process=1)
-        further = hollow - self.hollow.count()
+            self.alone = self.hollow.start(self.plan.alone, routers_per_process=1)
+        missing = hollow - self.hollow.count()
         self.tell(f"{hollow} hollow routers")
-        if further > 0:
-            self.hollow.start(further)
+        if missing > 0:
+            self.hollow.start(missing)
         members = hollow + len(self.routers) + len(self.keepers)
-        self.wait(f"a fleet of {members}", lambda: self.whole(members), within, meanwhile)
+        self.wait(f"a fleet of {members}", lambda: self.is_complete(members), within, meanwhile)
 
-    def whole(self, members: int) -> bool:
-        """Whether each hollow router has a lease and sees so many members alive."""
+    def is_complete(self, members: int) -> bool:
+        """Whether each hollow router has a lease and sees that many members alive."""
         self.read()
         return self.hollow.current() == self.hollow.count() and (
             not self.hollow.groups or self.hollow.least_alive() >= members
         )
 
     def read(self) -> None:
-        """Takes in all reports so far."""
+        """Reads all reports so far."""
         self.hollow.read()
-        for file in self.counted.values():
+        for file in self.report_files.values():
             file.read()
 
     # ---- regions
 
     def cut_region(self, region: str) -> None:
-        """Nothing goes between a region's routers or relays and the control machines."""
+        """Cuts the routers and relays of a region off from the control machines."""
         for name in (*self.keepers, *(f"desk-{name}" for name in self.keepers)):
             self.region_links[region].call("cut", a=region, b=name)
 
     def heal_region(self, region: str) -> None:
-        """The end of a cut; the delay stays."""
+        """Ends a cut; the delay stays."""
         self.region_links[region].call("heal")
         self._delay(region)
 
@@ -171,7 +174,7 @@
     # ---- purges
 
     def relay_status(self, port: int) -> Any:
-        """What a relay knows of itself and its members, None where it does not answer."""
+        """Returns the status of a purge relay and its members, None if it does not answer."""
         client = DeskClient([port], PURGES_SECRET)
         try:
             return client.call("GET", "/v1/status")
@@ -179,7 +182,7 @@
             client.close()
 
     def positions(self) -> dict[str, int]:
-        """The newest purge of each router that a zone's relay counts as live."""
+        """Returns the newest purge of each router that the relay of its zone counts as live."""
         return {
             row["name"]: row["n"]
             for port in self.layout.zone_relays.values()
--- a/standins/crowd/regions.py
+++ b/standins/crowd/regions.py
@@ -1,8 +1,8 @@
-"""Who is in a crowd of regions: control machines apart, two tiers of purge relays, hollow routers and real.
+"""The layout of a crowd of several regions: control machines, two tiers of purge relays, routers.
 
-The control machines (keepers, which bear the desk, too) stand in a region of their own. Each region of
-routers reaches them through a relay process of the rig, which delays and can cut. In a region one purge relay
-follows the desk, and one in each of its zones follows that; the routers of a zone follow theirs.
+The control machines (keepers, which also run the desk) are in a region of their own. Each region of routers
+reaches them through a relay process of the test rig, which can delay and cut connections. In a region one
+purge relay follows the desk, and one in each zone follows that; the routers follow the relay of their zone.
 """
 
 from dataclasses import dataclass
@@ -11,19 +11,19 @@
 from ..ports import free_port
 from .layout import KEEPERS, SECRET, Layout
 
-CONTROL = "control"  # region and zone of keepers and desks
+CONTROL = "control"  # region and zone of the keepers and desks
 PURGES_SECRET = "another secret for this crowd"
 
 
 @dataclass(frozen=True)
 class Plan:
-    """What a crowd of regions consists of. Leases are spans as in the operator's file."""
+    """The size and settings of a crowd of regions. Leases are durations as in the operator's file."""
 
     regions: int = 3
     zones_in_region: int = 2
     real: int = 12
-    alone: int = 2  # hollow routers with a process each, to compare with real ones
-    plain: int = 2  # real routers beside those, without an operator's file: no part of the fleet
+    alone: int = 2  # hollow routers with a process of their own, to compare with real ones
+    plain: int = 2  # further real routers without an operator's file, not part of the fleet
     caches: int = 6
     parents: int = 2
     purge_lease: str = "1 s"
@@ -34,22 +34,22 @@
 
     @property
     def zones(self) -> int:
-        """Of all regions together."""
+        """The number of zones of all regions."""
         return self.regions * self.zones_in_region
 
     @property
     def relays(self) -> int:
-        """Of both tiers."""
+        """The number of purge relays of both tiers."""
         return self.regions + self.zones
 
 
 class RegionLayout(Layout):
-    """Names, ports and files of a crowd of regions. Zone zN lies in region g(N mod regions)."""
+    """Names, ports and files of a crowd of regions. Zone zN belongs to region g(N mod regions)."""
 
     def __init__(self, folder: Path, plan: Plan) -> None:
-        """Ports are taken; hollow routers are added later."""
+        """Allocates the ports; hollow routers are added later."""
         self.plan = plan
-        self.regions = [f"g{n}" for n in range(plan.regions)]
+        self.regions = [f"g{number}" for number in range(plan.regions)]
         super().__init__(
             folder,
             plan.real + plan.plain,
@@ -64,7 +64,7 @@
         )
         self.plain = self.routers[plan.real :]
         self.zone.update(dict.fromkeys(self.keepers, CONTROL))
-        self.streams = {pair: free_port() for pair in self._stream_pairs()}
+        self.stream_ports = {pair: free_port() for pair in self._stream_pairs()}
         self.top_relays = {f"top-{region}": free_port() for region in self.regions}
         self.zone_relays = {f"relay-{zone}": free_port() for zone in self.zones}
 
@@ -73,66 +73,70 @@
         return [*keepers, *((region, f"desk-{name}") for region, name in keepers)]
 
     def region_of(self, zone: str) -> str:
-        """The region in which a zone lies."""
+        """Returns the region of a zone."""
         return self.regions[int(zone[1:]) % len(self.regions)]
 
     def in_region(self, region: str) -> list[str]:
-        """Routers of a region, real and hollow ones."""
+        """Returns the routers of a region, real and hollow ones."""
         members = (*self.routers[: self.plan.real], *self.hollow)
         return [name for name in members if self.region_of(self.zone[name]) == region]
 
-    def region_link(self, region: str) -> dict:
-        """What the relay process between a region and the control machines is told."""
-        reached = {name: self.real[name] for name in self.keepers}
-        reached.update({f"desk-{name}": port for name, port in self.desks.items()})
+    def region_relay_spec(self, region: str) -> dict:
+        """Returns the spec of the relay process between a region and the control machines."""
+        addresses = {name: self.listen_port[name] for name in self.keepers}
+        addresses.update({f"desk-{name}": port for name, port in self.desks.items()})
         return {
-            "members": {name: {"zone": CONTROL, "real": port} for name, port in reached.items()},
-            "streams": [[a, b, port] for (a, b), port in self.streams.items() if a == region],
+            "members": {name: {"zone": CONTROL, "real": port} for name, port in addresses.items()},
+            "streams": [
+                [source, target, port]
+                for (source, target), port in self.stream_ports.items()
+                if source == region
+            ],
         }
 
     # ---- hollow routers
 
     def add_hollow(self, count: int) -> list[str]:
-        """Names of so many further ones, their files written; they go to the zones in turn."""
+        """Adds hollow routers, spread over the zones, and writes their files; returns their names."""
         first = len(self.hollow)
-        names = [f"h{n}" for n in range(first, first + count)]
-        for n, name in enumerate(names, first):
-            self.zone[name] = self.zones[n % len(self.zones)]
-            self.real[name] = free_port()
-            self._file(name, self._router(name))
+        names = [f"h{number}" for number in range(first, first + count)]
+        for number, name in enumerate(names, first):
+            self.zone[name] = self.zones[number % len(self.zones)]
+            self.listen_port[name] = free_port()
+            self._write_file(name, self._router(name))
         self.hollow += names
         return names
 
     def site(self, name: str) -> str:
-        """The path of the operator's file of a process or a hollow router."""
+        """Returns the path of the operator's file of a process or a hollow router."""
         return str(self.folder / f"{name}.ini")
 
     # ---- files
 
     def write(self) -> None:
-        """The file of each process but the hollow routers', and one for people's commands: people.ini."""
+        """Writes all operator's files but the hollow routers', and people.ini for operators' commands."""
         for path, text in (("secret", SECRET), ("purges-secret", PURGES_SECRET)):
             (self.folder / path).write_text(text)
             (self.folder / path).chmod(0o600)
         for name in self.keepers:
-            self._file(name, self._keeper(name))
+            self._write_file(name, self._keeper(name))
         for name in self.routers[: self.plan.real]:
-            self._file(name, self._router(name))
+            self._write_file(name, self._router(name))
         for region in self.regions:
-            self._file(f"top-{region}", self._top_relay(region))
+            self._write_file(f"top-{region}", self._top_relay(region))
         for zone in self.zones:
-            self._file(f"relay-{zone}", self._zone_relay(zone))
-        reached = ", ".join(f"{name} 127.0.0.1:{self.real[name]}" for name in self.keepers)
-        people = {"name": "people", "listen": "127.0.0.1:1", "keepers": reached, "secret": "secret"}
-        self._file("people", {"fleet": people, "purges": self._purges(self.desks.values())})
+            self._write_file(f"relay-{zone}", self._zone_relay(zone))
+        addresses = ", ".join(f"{name} 127.0.0.1:{self.listen_port[name]}" for name in self.keepers)
+        people = {"name": "people", "listen": "127.0.0.1:1", "keepers": addresses, "secret": "secret"}
+        self._write_file("people", {"fleet": people, "purges": self._purges(self.desks.values())})
 
-    def _purges(self, desks, **more):
+    def _purges(self, desks, **options):
         return {
             "desk": ", ".join(f"127.0.0.1:{port}" for port in desks),
             "secret": "purges-secret",
             "lease": self.plan.purge_lease,
             "skew": self.plan.skew,
-            **more,
+            **options,
         }
 
     def _keeper(self, name):
@@ -151,12 +155,12 @@
         return {"fleet": self._fleet(name), "purges": purges, **sharing}
 
     def _top_relay(self, region):
-        desks = [self.streams[region, f"desk-{name}"] for name in self.keepers]
+        desks = [self.stream_ports[region, f"desk-{name}"] for name in self.keepers]
         return {"purges": self._purges(desks), "relay": self._relay(f"top-{region}", self.top_relays)}
 
     def _zone_relay(self, zone):
-        above = self.top_relays[f"top-{self.region_of(zone)}"]
-        relay = {**self._relay(f"relay-{zone}", self.zone_relays), "above": f"127.0.0.1:{above}"}
+        parent_port = self.top_relays[f"top-{self.region_of(zone)}"]
+        relay = {**self._relay(f"relay-{zone}", self.zone_relays), "above": f"127.0.0.1:{parent_port}"}
         return {"purges": self._purges(self.desks.values()), "relay": relay}
 
     @staticmethod
@@ -164,25 +168,27 @@
         return {"name": name, "listen": f"127.0.0.1:{ports[name]}", "store": f"{name}-members.json"}
 
     def _fleet(self, name):
-        reached = {
-            keeper: self.real[keeper] if name in self.keepers else self.streams[self._region(name), keeper]
+        addresses = {
+            keeper: self.listen_port[keeper]
+            if name in self.keepers
+            else self.stream_ports[self._region(name), keeper]
             for keeper in self.keepers
         }
         return {
             "name": name,
-            "listen": f"127.0.0.1:{self.real[name]}",
+            "listen": f"127.0.0.1:{self.listen_port[name]}",
             "zone": self.zone[name],
-            "keepers": ", ".join(f"{keeper} 127.0.0.1:{port}" for keeper, port in reached.items()),
+            "keepers": ", ".join(f"{keeper} 127.0.0.1:{port}" for keeper, port in addresses.items()),
             "secret": "secret",
-            "seeds": ", ".join(f"127.0.0.1:{self.real[keeper]}" for keeper in self.keepers),
+            "seeds": ", ".join(f"127.0.0.1:{self.listen_port[keeper]}" for keeper in self.keepers),
             "lease": self.plan.duty_lease,
         }
 
     def _region(self, name):
         return self.region_of(self.zone[name])
 
-    def words(self, name: str) -> list[str]:
-        """Of the command that runs a process."""
+    def command_arguments(self, name: str) -> list[str]:
+        """Returns the arguments of the command that runs a process."""
         if name in self.plain:
             return ["serve"]
         if name in self.keepers:
--- a/standins/crowd/remote.py
+++ b/standins/crowd/remote.py
@@ -1,4 +1,7 @@
-"""A stand-in in a process of its own, told what to do over lines of JSON; it ends with its parent."""
+"""Runs a stand-in in a process of its own, controlled by commands as lines of JSON over TCP.
+
+The process ends when its parent does.
+"""
 
 import asyncio
 import json
@@ -10,42 +13,46 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-WITHIN = 60.0  # seconds for an answer: the longest is a table written to a file
+CALL_TIMEOUT = 60.0  # seconds for an answer; the slowest command writes a table to a file
 
 
 async def serve(make, spec):
-    """make(spec): an object whose public methods are commands; its start() is awaited first."""
-    served, loop = make(spec), asyncio.get_running_loop()
-    started = await served.start()
-    over = loop.create_future()
+    """Serves commands: the public methods of make(spec), after its start() has been awaited."""
+    target, loop = make(spec), asyncio.get_running_loop()
+    started = await target.start()
+    parent_ended = loop.create_future()
 
-    async def talk(reader, writer):
+    async def handle(reader, writer):
         while line := await reader.readline():
-            asked = json.loads(line)
+            request = json.loads(line)
             try:
-                told = getattr(served, asked["do"])(**asked["with"])
-                told = await told if asyncio.iscoroutine(told) else told
-                answer = {"told": told}
-            except Exception as wrong:  # whoever asked is to know; the stand-in goes on
+                result = getattr(target, request["do"])(**request["with"])
+                result = await result if asyncio.iscoroutine(result) else result
+                answer = {"told": result}
+            except Exception as wrong:  # reported to the caller; the stand-in goes on
                 answer = {"wrong": f"{type(wrong).__name__}: {wrong}"}
             writer.write(json.dumps(answer).encode() + b"\n")
         writer.close()
 
-    server = await asyncio.start_server(talk, "127.0.0.1", 0, limit=2**24)
-    loop.add_reader(0, lambda: os.read(0, 1) or over.done() or over.set_result(None))
+    server = await asyncio.start_server(handle, "127.0.0.1", 0, limit=2**24)
+    loop.add_reader(0, lambda: os.read(0, 1) or parent_ended.done() or parent_ended.set_result(None))
     print(json.dumps({"port": server.sockets[0].getsockname()[1], "started": started}), flush=True)
-    await over
-    os._exit(0)  # nothing is kept that would have to be put away
+    await parent_ended
+    os._exit(0)  # there is no state to save
 
 
 def main(make):
-    soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
+    """Raises the limit of open files and serves the spec in the file named by the first argument."""
+    _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     asyncio.run(serve(make, json.loads(Path(sys.argv[1]).read_text())))
 
 
 class Remote:
-    """The other side: remote.call("vanish", name="c1"). RuntimeError tells what went wrong there."""
+    """Starts a stand-in and calls its commands, as in remote.call("vanish", name="c1").
+
+    RuntimeError carries the text of an error there.
+    """
 
     def __init__(self, module, spec, folder):
         self.module, path = module, Path(folder) / f"{module}.spec.json"
@@ -61,16 +68,16 @@
         line = self.process.stdout.readline()
         if not line:
             raise RuntimeError(f"{module} did not start, see {path.parent}/{module}.log")
-        begun = json.loads(line)
-        self.started = begun["started"]
-        self.socket = socket.create_connection(("127.0.0.1", begun["port"]), WITHIN)
+        greeting = json.loads(line)
+        self.started = greeting["started"]
+        self.socket = socket.create_connection(("127.0.0.1", greeting["port"]), CALL_TIMEOUT)
         self.lines = self.socket.makefile("rb")
 
-    def call(self, do, **values):
-        self.socket.sendall(json.dumps({"do": do, "with": values}).encode() + b"\n")
+    def call(self, command, **values):
+        self.socket.sendall(json.dumps({"do": command, "with": values}).encode() + b"\n")
         answer = json.loads(self.lines.readline() or b'{"wrong": "it has ended"}')
         if "wrong" in answer:
-            raise RuntimeError(f"{do}: {answer['wrong']}")
+            raise RuntimeError(f"{command}: {answer['wrong']}")
         return answer["told"]
 
     def end(self):
--- a/standins/crowd/settings.py
+++ b/standins/crowd/settings.py
@@ -1,4 +1,4 @@
-"""What a router reads at its start, made from the example in docs/."""
+"""The configuration of a router in a crowd, made from the example in docs/."""
 
 import json
 from copy import deepcopy
@@ -6,11 +6,11 @@
 from . import objects
 from .remote import ROOT
 
-BYTES_PER_KB = objects.BYTES
-FLOWS = 16  # transfers at full speed on a router's link
+BYTES_PER_KB = objects.BYTES_PER_KB
+LINK_TRANSFERS = 16  # transfers at full speed on a router's link
 LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 600}
 
-# Times of the caches, as the settings state them and the stand-ins keep them.
+# Times and shares of the caches, used in the settings of routers and by the simulated caches.
 TIMES = {
     "share": 0.2,
     "cold_ms": 15_000,
@@ -23,6 +23,8 @@
 
 
 def kinds():
+    """Returns the rows of the object kinds."""
+
     def row(name, effect):
         return {
             "name": name,
@@ -39,17 +41,23 @@
     return [row(name, effect) for name, (effect, *_) in objects.KINDS.items()]
 
 
-def settings(number, zone, zones, by_zone, platform, report, times):
-    """by_zone: routers in each zone; the hub zone, without any, is added."""
-    stated = deepcopy(json.loads((ROOT / "docs" / "example.json").read_text())["settings"])
+def settings(number, zone, zones, router_count_by_zone, platform, report, times):
+    """Returns the settings of a router. The zone hub, which has no routers, is added to zones."""
+    result = deepcopy(json.loads((ROOT / "docs" / "example.json").read_text())["settings"])
     all_zones = ["hub", *zones]
     rows = list(objects.KINDS.values())
-    stated.update(myNumber=number, balancers=sum(by_zone.values()), az=zone, zones=all_zones, classes=kinds())
-    stated["extra"].update(
+    result.update(
+        myNumber=number,
+        balancers=sum(router_count_by_zone.values()),
+        az=zone,
+        zones=all_zones,
+        classes=kinds(),
+    )
+    result["extra"].update(
         hubByZone=[0] * len(all_zones),
-        crewByZone=[0, *(by_zone[zone] for zone in zones)],
+        crewByZone=[0, *(router_count_by_zone[zone] for zone in zones)],
         feedKbPerS=[0.0] * len(all_zones),
-        oneFlowKbPerS=objects.FLOW,
+        oneFlowKbPerS=objects.FLOW_KB_PER_S,
         parentFloor=times["parent_share"],
         parentCold=float(times["parent_cold_ms"]),
         parentFallMultiple=times["parent_multiple"],
@@ -59,26 +67,26 @@
         classParts=[row[2] for row in rows],
         passOn=[row[1] for row in rows],
     )
-    stated["limits"].update(peers=not platform, idleClose=6_000.0)
-    stated["report"].update(how=report)
-    stated["invariants"].update(
+    result["limits"].update(peers=not platform, idleClose=6_000.0)
+    result["report"].update(how=report)
+    result["invariants"].update(
         coldFrom=times["share"],
         warmWithin=float(times["cold_ms"]),
         fallMultiple=times["multiple"],
         fall=float(times["fall_ms"]),
     )
-    return stated
+    return result
 
 
-def configuration(name, listen, feed, known, stated):
+def configuration(name, listen_port, feed_port, known, router_settings):
     return {
         "name": name,
-        "listen": f"127.0.0.1:{listen}",
+        "listen": f"127.0.0.1:{listen_port}",
         "seed": name,
-        "feed": f"127.0.0.1:{feed}",
-        "settings": stated,
+        "feed": f"127.0.0.1:{feed_port}",
+        "settings": router_settings,
         "limits": LIMITS,
-        "flow_bytes_per_s": int(objects.FLOW * BYTES_PER_KB),
-        "link_bytes_per_s": int(objects.FLOW * BYTES_PER_KB * FLOWS),
+        "flow_bytes_per_s": int(objects.FLOW_KB_PER_S * BYTES_PER_KB),
+        "link_bytes_per_s": int(objects.FLOW_KB_PER_S * BYTES_PER_KB * LINK_TRANSFERS),
         "known": known,
     }
--- a/standins/crowd/verdict.py
+++ b/standins/crowd/verdict.py
@@ -1,22 +1,24 @@
-"""What a run came to, and what it broke. Safety only: how much was served is for whoever ran it to judge."""
+"""The results of a run and its violations of safety rules; the caller judges how much was served."""
 
 from . import objects
 
-SLACK = 0.25  # seconds beyond each time that the rules give, if not told otherwise: few cores for many
-PURGE = 1_000  # ms after which a purge that was told binds every answer
-GRACE = 500  # ms of a drain
-AROUND = 6.0  # seconds after a router was struck in which what it had taken may be lost
-TOLD = 1_000  # ms after a cold start was told: routers knew
+SLACK = 0.25  # default tolerance in seconds for each time limit, since many processes share few cores
+PURGE_MS = 1_000  # after its announcement a purge binds every answer
+DRAIN_GRACE_MS = 500  # time for which a draining cache may still be used
+FAULT_WINDOW = 6.0  # seconds around a fault of a router in which its lookups may be lost
+COLD_START_KNOWN_MS = 1_000  # after its announcement routers know of a cold start
 
 
 class Verdict:
-    """table: of the clients; caches: their tables; told: events and purges of the feed; struck: [(Unix s,
-    what, router)]. broken: [text], empty where each rule was kept.
+    """Checks the rules when it is created; violations: [text], empty if all rules hold.
+
+    table: of the clients; caches: their tables; told: events and purges of the feed; events: [(Unix s, event,
+    process)] of processes that were started or signalled; slack: seconds of tolerance.
     """
 
-    def __init__(self, table, caches, told, struck, slack=SLACK):
+    def __init__(self, table, caches, told, events, slack=SLACK):
         self.lookups, self.caches, self.slack = table["lookups"], caches, 1_000 * slack
-        self.router_faults = [(at, name) for at, what, name in struck if what in ("kill", "stop")]
+        self.router_faults = [(at, name) for at, what, name in events if what in ("kill", "stop")]
         self.outcomes = {}
         for row in self.lookups:
             self.outcomes[row[3]] = self.outcomes.get(row[3], 0) + 1
@@ -28,7 +30,7 @@
         self.stale = [row for row in self.lookups if row[5] and self._stale(row, told["purged"])]
         self.overloads = [fall for row in caches for fall in row["falls"]]
         self.after_drain = [
-            use for row in caches for use in row["after_drain"] if use[0] > GRACE + self.slack
+            use for row in caches for use in row["after_drain"] if use[0] > DRAIN_GRACE_MS + self.slack
         ]
         self.invalid_requests = [target for row in caches for target in row["void"]]
         self.repeated_effects = self._find_repeated_effects()
@@ -48,44 +50,47 @@
         ]
 
     def _router_had_fault(self, row):
-        """Its router was killed or stopped while it was out, or just before: nobody else is to blame."""
+        """Whether the lookup's router was killed or stopped within FAULT_WINDOW of the lookup."""
         return any(
-            name == row[1] and at - AROUND <= row[0] + row[4] and row[0] <= at + AROUND
+            name == row[1] and at - FAULT_WINDOW <= row[0] + row[4] and row[0] <= at + FAULT_WINDOW
             for at, name in self.router_faults
         )
 
     def _stale(self, row, purged):
-        at, _, kind, _, _, made, object_ = row
+        at, _, kind, _, _, created_ms, object_ = row
         fresh, grace = objects.KINDS[kind][3:5]
-        if fresh and at * 1_000 - made > fresh + grace + self.slack:
+        if fresh and at * 1_000 - created_ms > fresh + grace + self.slack:
             return True
         return any(
-            made < when
-            and at * 1_000 > told + PURGE + self.slack
+            created_ms < when
+            and at * 1_000 > told + PURGE_MS + self.slack
             and (key == object_ if key else group == objects.group(object_))
             for told, when, key, group in purged
         )
 
     def _find_repeated_effects(self):
-        """Side effects by id or key that ran more than once: a guarded one may, within its caches' memory."""
+        """Returns single-shot side effects that ran more than once; guarded ones may run again."""
         seen = {}
         for row in self.caches:
             for key, effect, at, name in row["effects"]:
                 seen.setdefault((effect, key), []).append((at, name))
-        return [(key, ran) for (effect, key), ran in seen.items() if len(ran) > 1 and effect == "single_shot"]
+        return [
+            (key, runs) for (effect, key), runs in seen.items() if len(runs) > 1 and effect == "single_shot"
+        ]
 
     def summary(self):
+        """Returns the figures of the run."""
         slots = [slot for row in self.caches for slot in row["slots"]]
         edge = [slot for row in self.caches if row["sort"] == "box" for slot in row["slots"]]
-        took = sorted(row[4] for row in self.lookups if row[3] == "served") or [0.0]
+        latencies = sorted(row[4] for row in self.lookups if row[3] == "served") or [0.0]
         hits, fills = (sum(slot["hits"] for slot in edge), sum(sum(slot["fills"].values()) for slot in edge))
         return {
             "lookups": len(self.lookups),
             **{end: count for end, count in sorted(self.outcomes.items())},
             "served_share": round(self.served, 4),
             "hit_share": round(hits / max(1, hits + fills), 4),
-            "p50_ms": round(1_000 * took[len(took) // 2], 1),
-            "p99_ms": round(1_000 * took[int(len(took) * 0.99)], 1),
+            "p50_ms": round(1_000 * latencies[len(latencies) // 2], 1),
+            "p99_ms": round(1_000 * latencies[int(len(latencies) * 0.99)], 1),
             "origin_fills": sum(slot["fills"].get("o0", 0) for slot in slots),
             "full": sum(slot["full"] for slot in slots),
             "refused": sum(slot["refused"] for slot in slots),
--- a/standins/crowd/world.py
+++ b/standins/crowd/world.py
@@ -1,4 +1,6 @@
-"""Caches, parents, origin and the feed in one process: a fault and what the feed says of it are one step.
+"""Caches, parents, origin and the control feed in one process.
+
+So a fault and the feed's event about it happen in one step.
 
 python -m standins.crowd.world SPEC, see crowd.py for the spec.
 """
@@ -8,147 +10,159 @@
 import time
 
 from .cache_server import CacheServer
-from .caches import Cache, now
+from .caches import Cache, unix_ms
 from .feed import Feed
 from .remote import main
 
-SWEEP = 1.0  # seconds between looks for idle connections
-CLEARED = (500, 4_000)  # ms after which the first and the last cache have heard of a purge
-RESTART = 0.3  # seconds that a cache which restarts is gone
+SWEEP_INTERVAL = 1.0  # seconds between checks for idle connections
+PURGE_DELAYS_MS = (500, 4_000)  # delay of a purge to the first and to the last cache
+RESTART_SECONDS = 0.3  # seconds for which a restarting cache is down
 
 
 class World:
-    """spec: caches (rows of the feed with port and room), doors (of the feed), terms, idle, inline."""
+    """The public methods are commands, see remote.py.
+
+    spec: caches (rows of the feed with port and room), doors (ports of the feed, by router), terms, idle,
+    inline.
+    """
 
     def __init__(self, spec):
         self.spec, self.caches, self.servers, self.events = spec, {}, {}, []
-        self.feed = Feed(spec["doors"], [self._listed(row) for row in spec["caches"]])
-        self.purged = []  # (told, at, key, group)
+        self.feed = Feed(spec["doors"], [self._feed_row(row) for row in spec["caches"]])
+        self.purged = []  # (told ms, purge ms, key, group)
 
     @staticmethod
-    def _listed(row, **more):
-        listed = {key: row[key] for key in ("name", "zone", "type", "group", "weight", "since_ms")}
-        return {**listed, "address": f"127.0.0.1:{row['port']}", "status": "active", **more}
+    def _feed_row(row, **changes):
+        feed_row = {key: row[key] for key in ("name", "zone", "type", "group", "weight", "since_ms")}
+        return {**feed_row, "address": f"127.0.0.1:{row['port']}", "status": "active", **changes}
 
     async def start(self):
         loop = asyncio.get_running_loop()
         for row in self.spec["caches"]:
             await self._add(row)
         await self.feed.start()
-        self._sweep(loop)
-        return {"known": self.feed.known()}
+        self._close_idle(loop)
+        return {"known": self.feed.snapshot()}
 
     async def _add(self, row):
         cache = self.caches[row["name"]] = Cache(row, self.spec["terms"], self.caches)
         self.servers[row["name"]] = server = CacheServer(
             cache, row["port"], self.spec["idle"], self.spec["inline"]
         )
-        cache.row_of = row
+        cache.spec_row = row
         await server.open()
 
-    def _sweep(self, loop):
+    def _close_idle(self, loop):
         for server in self.servers.values():
-            server.sweep()
-        loop.call_later(SWEEP, self._sweep, loop)
+            server.close_idle()
+        loop.call_later(SWEEP_INTERVAL, self._close_idle, loop)
 
-    def _note(self, what, name):
-        self.events.append({"at": round(now()), "what": what, "cache": name})
+    def _record_event(self, what, name):
+        self.events.append({"at": round(unix_ms()), "what": what, "cache": name})
 
     # ---- commands: faults
 
     def vanish(self, name):
-        self._note("vanish", name)
+        self._record_event("vanish", name)
         self.servers[name].vanish()
 
     def hang(self, name):
-        self._note("hang", name)
+        self._record_event("hang", name)
         self.servers[name].hang()
 
     def slow(self, name, times):
-        self._note("slow", name)
-        self.caches[name].slow = times
+        self._record_event("slow", name)
+        self.caches[name].slowdown = times
 
     async def heal(self, name):
-        self._note("heal", name)
+        self._record_event("heal", name)
         await self.servers[name].heal()
 
-    async def restart(self, name, gone=RESTART):
-        """It comes back cold, and the feed says so."""
-        self._note("restart", name)
+    async def restart(self, name, gone=RESTART_SECONDS):
+        """Restarts a cache: it is cold afterwards, and the feed announces that."""
+        self._record_event("restart", name)
         cache, server = self.caches[name], self.servers[name]
         cache.state = "down"
-        server.shut()
-        cache.empty()
+        server.close_all()
+        cache.clear_all()
         await asyncio.sleep(gone)
-        cache.since = int(now())
-        self.feed.change(self._listed(cache.row_of, since_ms=cache.since))
+        cache.started_ms = int(unix_ms())
+        self.feed.update_members(self._feed_row(cache.spec_row, since_ms=cache.started_ms))
         await server.heal()
 
     async def replace(self, name):
-        """Another cache takes its address; its name."""
-        self._note("replace", name)
+        """Puts a new cache at the address of another one; returns the new name."""
+        self._record_event("replace", name)
         old, server = self.caches[name], self.servers[name]
-        row = {**old.row_of, "name": f"{name.partition('.')[0]}.{len(self.events)}", "since_ms": int(now())}
-        server.shut()
-        old.empty()
+        row = {
+            **old.spec_row,
+            "name": f"{name.partition('.')[0]}.{len(self.events)}",
+            "since_ms": int(unix_ms()),
+        }
+        server.close_all()
+        old.clear_all()
         old.state = "gone"
         await self._add(row)
-        old.leaving = self.feed.change(self._listed(old.row_of, status="left"), self._listed(row))
+        old.drain_ms = self.feed.update_members(
+            self._feed_row(old.spec_row, status="left"), self._feed_row(row)
+        )
         return row["name"]
 
     def drain(self, name):
-        """Told as leaving; it goes on, and counts who still comes."""
-        self._note("drain", name)
+        """Announces a cache as leaving; it still serves, and counts the lookups that arrive."""
+        self._record_event("drain", name)
         cache = self.caches[name]
-        cache.leaving = self.feed.change(self._listed(cache.row_of, status="leaving"))
+        cache.drain_ms = self.feed.update_members(self._feed_row(cache.spec_row, status="leaving"))
 
     def back(self, name):
-        """A cache that drained is active again."""
-        self._note("back", name)
+        """Announces a draining cache as active again."""
+        self._record_event("back", name)
         cache = self.caches[name]
-        cache.leaving = None
-        self.feed.change(self._listed(cache.row_of))
+        cache.drain_ms = None
+        self.feed.update_members(self._feed_row(cache.spec_row))
 
     def leave(self, name):
-        self._note("leave", name)
+        self._record_event("leave", name)
         cache = self.caches[name]
-        cache.leaving = cache.leaving or now()
-        self.feed.change(self._listed(cache.row_of, status="left"))
+        cache.drain_ms = cache.drain_ms or unix_ms()
+        self.feed.update_members(self._feed_row(cache.spec_row, status="left"))
         cache.state = "gone"
-        self.servers[name].shut()
+        self.servers[name].close_all()
 
     def purge(self, key=None, group=None):
-        at = round(now())
-        told = self.feed.put({"purge": {"at": at, **({"key": key} if key else {"group": group})}})
-        self.purged.append((round(told), at, key, group))
-        loop, first, last = asyncio.get_running_loop(), *CLEARED
-        for n, cache in enumerate(self.caches.values()):
+        purge_ms = round(unix_ms())
+        told_ms = self.feed.publish(
+            {"purge": {"at": purge_ms, **({"key": key} if key else {"group": group})}}
+        )
+        self.purged.append((round(told_ms), purge_ms, key, group))
+        loop, first, last = asyncio.get_running_loop(), *PURGE_DELAYS_MS
+        for index, cache in enumerate(self.caches.values()):
             loop.call_later(
-                (first + (last - first) * n / len(self.caches)) / 1_000, cache.purge, at, key, group
+                (first + (last - first) * index / len(self.caches)) / 1_000, cache.purge, purge_ms, key, group
             )
 
     def feed_delay(self, seconds, routers=None):
-        """News reaches these routers, or all, that much later; it counts as told all the same."""
+        """Delays the events to these routers, or to all; the delay does not move the time of announcement."""
         for router in routers or self.spec["doors"]:
             self.feed.delay[router] = seconds
 
     # ---- commands: tables
 
     def known(self):
-        return self.feed.known()
+        return self.feed.snapshot()
 
     def warm(self, names, share=1.0):
-        """Copies of those (kind, object, part) in each cache, made now, as if it had run for long."""
+        """Stores copies of the given (kind, object, part) in each cache, as after a long run."""
         for cache in self.caches.values():
-            if cache.sort == "box" or cache.sort == "parent":
+            if cache.type == "box" or cache.type == "parent":
                 for kind, object_, part in names:
-                    cache.keep((kind, object_, part), int(now()))
+                    cache.store((kind, object_, part), int(unix_ms()))
 
     def names(self):
         return {name: cache.state for name, cache in self.caches.items()}
 
     def tables(self, path):
-        """Written to that file, a line of JSON a cache."""
+        """Writes the tables to a file, one JSON line for each cache."""
         with open(path, "w") as out:
             for name, cache in self.caches.items():
                 print(
@@ -156,16 +170,16 @@
                         {
                             "cache": name,
                             "zone": cache.zone,
-                            "sort": cache.sort,
-                            "since_ms": cache.since,
+                            "sort": cache.type,
+                            "since_ms": cache.started_ms,
                             "state": cache.state,
                             "copies": len(cache.copies),
                             "weight": cache.weight,
                             "slots": [{"at": slot * 100, **row} for slot, row in sorted(cache.rows.items())],
-                            "falls": cache.falls,
+                            "falls": cache.overloads,
                             "after_drain": cache.after_drain,
                             "effects": cache.effects,
-                            "void": self.servers[name].void,
+                            "void": self.servers[name].invalid_targets,
                         }
                     ),
                     file=out,
--- a/standins/hollow/__init__.py
+++ b/standins/hollow/__init__.py
@@ -1,6 +1,6 @@
-"""Hollow routers: all that a router says and hears for control, by the program's own code, without lookups.
+"""Hollow routers: all control traffic of a router, by the program's own code, without lookups.
 
-python -m standins.hollow CONFIG.json hosts dozens of them in one process; docs/design/scale.md says how.
+python -m standins.hollow CONFIG.json hosts dozens of them in one process; see docs/design/scale.md.
 """
 
 from .configuration import Configuration, ConfigurationRefused, RouterPlace
--- a/standins/hollow/__main__.py
+++ b/standins/hollow/__main__.py
@@ -1,4 +1,4 @@
-"""python -m standins.hollow CONFIG.json: hollow routers in one process until SIGTERM; reports on stdout."""
+"""python -m standins.hollow CONFIG.json: runs hollow routers until SIGTERM; reports go to stdout."""
 
 import gc
 import resource
@@ -18,10 +18,10 @@
 from .reporter import Reporter
 from .router import HollowRouter
 
-START_EVERY = 0.005  # seconds between two routers' starts
-LEAVE_FOR = 0.2  # seconds in which others are told that these routers end
-DESCRIPTORS = 16  # of one router: two ports, streams to keepers, feed, renewals, lists of neighbours
-SPARE_DESCRIPTORS = 64  # of the process
+START_INTERVAL = 0.005  # seconds between the starts of two routers
+LEAVE_SECONDS = 0.2  # seconds to announce to others that these routers leave
+DESCRIPTORS = 16  # per router: two ports, streams to keepers, feed, lease renewals, lists of neighbours
+SPARE_DESCRIPTORS = 64  # for the process itself
 
 
 class TooFewDescriptors(HookrouterError):
@@ -33,7 +33,7 @@
 
 
 def raise_descriptors(routers: int) -> None:
-    """Takes what the hard limit allows; TooFewDescriptors where that is not enough."""
+    """Raises the limit of open files to the hard limit; TooFewDescriptors if that is not enough."""
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     needed = DESCRIPTORS * routers + SPARE_DESCRIPTORS
     if hard != resource.RLIM_INFINITY and hard < needed:
@@ -42,19 +42,19 @@
 
 
 def named_log(log: Log, name: str) -> Callable[..., None]:
-    """A log whose lines name the router."""
+    """Returns a log function whose lines name the router."""
 
-    def tell(kind: str, detail: str = "", level: str = "info", **values: Any) -> None:
+    def log_with_name(kind: str, detail: str = "", level: str = "info", **values: Any) -> None:
         log(kind, detail, level, hollow=name, **values)
 
-    return tell
+    return log_with_name
 
 
 class Host:
     """All hollow routers of this process."""
 
     def __init__(self, reactor: Any, configuration: Configuration, log: Log) -> None:
-        """Reads each router's file: ConfigurationRefused where one cannot be used."""
+        """Reads each router's file; ConfigurationRefused if one cannot be used."""
         self.reactor, self.log, self.stopping = reactor, log, False
         self.routers = [
             HollowRouter(
@@ -67,14 +67,17 @@
             for place in configuration.routers
         ]
         self.reporter = Reporter(
-            reactor, configuration.report_every_s, lambda: [one.report() for one in self.routers], sys.stdout
+            reactor,
+            configuration.report_every_s,
+            lambda: [router.report() for router in self.routers],
+            sys.stdout,
         )
         self.failure: ListenRefused | None = None
 
     def start(self) -> None:
-        """One router after the other, so that their timers are spread."""
-        for n, router in enumerate(self.routers):
-            self.reactor.callLater(n * START_EVERY, self._start, router)
+        """Starts the routers one after the other, so that their timers are spread."""
+        for number, router in enumerate(self.routers):
+            self.reactor.callLater(number * START_INTERVAL, self._start, router)
         self.reporter.start()
 
     def _start(self, router: HollowRouter) -> None:
@@ -87,31 +90,31 @@
             self.stop()
 
     def stop(self) -> None:
-        """Others are told, a last report is written, and the process ends."""
+        """Announces the leave to other members, writes a last report and ends the process."""
         if self.stopping:
             return
         self.stopping = True
         self.log("stopping")
         for router in self.routers:
             router.leave()
-        self.reactor.callLater(LEAVE_FOR, self._end)
+        self.reactor.callLater(LEAVE_SECONDS, self._end)
 
     def _end(self) -> None:
         self.reporter.write()
         for router in self.routers:
             router.end()
-        self.reactor.callLater(LEAVE_FOR / 2, self.reactor.stop)
+        self.reactor.callLater(LEAVE_SECONDS / 2, self.reactor.stop)
 
 
 def run(path: str) -> None:
-    """Until SIGTERM; HookrouterError where it cannot start."""
+    """Runs until SIGTERM; HookrouterError if it cannot start."""
     configuration = read_configuration(path)
     raise_descriptors(len(configuration.routers))
     log = Log()
     tell_uncaught(log)
     host = Host(reactor, configuration, log)
     gc.collect()
-    gc.freeze()  # as serve does, so that both spend alike on collections
+    gc.freeze()  # as serve does, so that both spend the same time on collections
     host.start()
     log("hollow routers serve", routers=len(host.routers))
     run_until(host.stop, reactor)
@@ -121,7 +124,7 @@
 
 
 def main(words: list[str]) -> int:
-    """The exit code."""
+    """Runs the command; returns the exit code."""
     if len(words) != 1:
         print("usage: python -m standins.hollow CONFIG.json", file=sys.stderr)
         return 2
--- a/standins/hollow/configuration.py
+++ b/standins/hollow/configuration.py
@@ -1,4 +1,4 @@
-"""What a process of hollow routers reads at its start: CONFIG.json and each router's operator's file."""
+"""The configuration of a process of hollow routers: CONFIG.json and the operator's file of each router."""
 
 from collections import Counter
 from pathlib import Path
@@ -10,7 +10,7 @@
 from hookrouter.errors.site import InvalidSiteFile
 from hookrouter.site import read as read_site
 
-NEEDS_LOOKUPS = ("spread", "warming")  # sections whose parts decide by a router's own lookups
+NEEDS_LOOKUPS = ("spread", "warming")  # sections of features that depend on a router's own lookups
 
 Sections = dict[str, dict[str, Any]]  # of an operator's file, as hookrouter.site reads it
 
@@ -24,14 +24,14 @@
 
 
 class RouterPlace(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One hollow router. site: its operator's file, as `hookrouter serve --site` reads it."""
+    """A hollow router. site: path of its operator's file, as for `hookrouter serve --site`."""
 
     name: str
     site: str
 
 
 class Configuration(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """CONFIG.json. caches: names of which each router tells loads; [] for made-up ones of its zone."""
+    """CONFIG.json. caches: the caches whose loads each router reports; [] for synthetic ones of its zone."""
 
     seed: int
     routers: list[RouterPlace]
@@ -40,7 +40,7 @@
 
 
 def read_configuration(path: str | Path) -> Configuration:
-    """The file, read and checked; ConfigurationRefused names what is wrong."""
+    """Reads and checks the file; ConfigurationRefused names what is wrong."""
     try:
         configuration = msgspec.json.decode(Path(path).read_bytes(), type=Configuration)
     except OSError as wrong:
@@ -48,18 +48,20 @@
     except msgspec.MsgspecError as wrong:
         raise ConfigurationRefused(f"{path}: {wrong}") from None
     if not configuration.routers:
-        raise ConfigurationRefused(f"{path}: routers: one at least is wanted")
+        raise ConfigurationRefused(f"{path}: routers: at least one is required")
     if configuration.report_every_s <= 0:
-        raise ConfigurationRefused(f"{path}: report_every_s: a number above 0 is wanted")
+        raise ConfigurationRefused(f"{path}: report_every_s: must be above 0")
     names = Counter(router.name for router in configuration.routers)
     for name, count in names.items():
         if count > 1:
-            raise ConfigurationRefused(f"{path}: routers: {name} stands {count} times; names are unique")
+            raise ConfigurationRefused(
+                f"{path}: routers: {name} is listed {count} times; names must be unique"
+            )
     return configuration
 
 
 def read_sections(router: RouterPlace) -> Sections:
-    """The operator's file of one hollow router; ConfigurationRefused where a hollow one cannot run by it."""
+    """Reads the operator's file of a hollow router; ConfigurationRefused if it cannot run with it."""
     try:
         sections = read_site(router.site)
     except InvalidSiteFile as wrong:
@@ -71,8 +73,10 @@
     if fleet["name"] != router.name:
         raise ConfigurationRefused(f"{where}: [fleet] name is {fleet['name']}, not {router.name}")
     if fleet["name"] in fleet["keepers"]:
-        raise ConfigurationRefused(f"{where}: [fleet] keepers names it; a hollow router keeps nothing")
+        raise ConfigurationRefused(f"{where}: [fleet] keepers names it; a hollow router cannot be a keeper")
     for section in NEEDS_LOOKUPS:
         if section in sections:
-            raise ConfigurationRefused(f"{where}: [{section}] needs lookups, which a hollow router has not")
+            raise ConfigurationRefused(
+                f"{where}: [{section}] needs lookups, which a hollow router does not have"
+            )
     return sections
--- a/standins/hollow/counted.py
+++ b/standins/hollow/counted.py
@@ -1,10 +1,10 @@
-"""Runs a command of the program with its control traffic counted and reported as hollow routers' is.
+"""Runs a command of the program and reports its control traffic as a hollow router does.
 
 python -m standins.hollow.counted REPORTS EVERY_S serve --site FILE
 
-So a real router beside hollow ones is measured by the same hooks at the same sockets: no hop is added,
-lookups and caches are not touched. REPORTS gets one JSON line each EVERY_S seconds (see report.py). FILE has
-to have [fleet].
+So a real router is measured by the same hooks at the same sockets as hollow ones: there is no proxy, and
+lookups and caches are unaffected. REPORTS gets one JSON line every EVERY_S seconds (see report.py). FILE must
+have [fleet].
 """
 
 import sys
@@ -12,7 +12,7 @@
 
 from hookrouter.node.signals import Signals
 
-signals = Signals()  # before all that takes time, as the program itself does
+signals = Signals()  # before slow imports, as in the program itself
 
 from twisted.internet import reactor  # noqa: E402
 
@@ -27,17 +27,17 @@
 
 
 def count_real_router(reactor: Any, reports: str, every: float, site: str) -> None:
-    """From the reactor's start on, appended to the file reports. site: the operator's file."""
+    """Appends reports to the file reports from the reactor's start on. site: the operator's file."""
     fleet, traffic = read(site)["fleet"], Traffic()
     SocketCounter(reactor, traffic, fleet["keepers"])
-    out = open(reports, "a", encoding="utf-8")  # noqa: SIM115  for as long as the process lasts
+    out = open(reports, "a", encoding="utf-8")  # noqa: SIM115  open until the process ends
     reporter = Reporter(reactor, every, lambda: [RouterReport(fleet["name"], traffic)], out)
     reactor.callWhenRunning(reporter.start)
     reactor.addSystemEventTrigger("before", "shutdown", reporter.write)
 
 
 def main(words: list[str]) -> int:
-    """The exit code of the command."""
+    """Runs the command; returns its exit code."""
     if len(words) < 5 or "--site" not in words[:-1]:
         print("usage: python -m standins.hollow.counted REPORTS EVERY_S serve --site FILE", file=sys.stderr)
         return 2
--- a/standins/hollow/process.py
+++ b/standins/hollow/process.py
@@ -1,4 +1,4 @@
-"""A process of hollow routers, as whoever runs it sees it: started, read, struck and ended by its id."""
+"""A process of hollow routers as seen by its parent: start, reports, signals and end."""
 
 import os
 import signal
@@ -14,19 +14,19 @@
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 END_WITHIN = 5.0  # seconds after SIGTERM
-LOOK_EVERY = 0.05  # seconds between looks for a report
+POLL_INTERVAL = 0.05  # seconds between checks for a report
 
 decode = msgspec.json.Decoder(Report).decode
 
 
 def read_reports(path: Path) -> list[Report]:
-    """All whole lines of a file of reports, in their order."""
+    """Returns the reports of all complete lines of a file, in order."""
     lines = path.read_bytes().split(b"\n") if path.exists() else [b""]
     return [decode(line) for line in lines[:-1]]
 
 
 class HollowProcess:
-    """Reports go to CONFIG.reports beside the configuration, the log to CONFIG.log."""
+    """Writes reports to CONFIG.reports beside the configuration, and the log to CONFIG.log."""
 
     def __init__(self, configuration: str | Path) -> None:
         """configuration: the path of CONFIG.json."""
@@ -36,7 +36,7 @@
         self.process: subprocess.Popen | None = None
 
     def start(self) -> None:
-        """Returns at once; the first report says that it runs."""
+        """Starts the process without waiting; its first report shows that it runs."""
         with open(self.reports_path, "wb") as out, open(self.log_path, "ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "standins.hollow", str(self.configuration)],
@@ -48,38 +48,38 @@
             )
 
     def reports(self) -> list[Report]:
-        """All so far."""
+        """Returns all reports so far."""
         return read_reports(self.reports_path)
 
     def next_report(self, within: float = 10.0) -> Report:
-        """The first that is written from now on; RuntimeError where none comes."""
+        """Returns the first report written from now on; RuntimeError if there is none in time."""
         before, until = len(self.reports()), time.monotonic() + within
         while time.monotonic() < until and self.process.poll() is None:
             found = self.reports()
             if len(found) > before:
                 return found[before]
-            time.sleep(LOOK_EVERY)
+            time.sleep(POLL_INTERVAL)
         raise RuntimeError(f"no report of {self.configuration.name}: {self.log()[-500:]}")
 
     def log(self) -> str:
-        """What it wrote to standard error."""
+        """Returns what the process wrote to standard error."""
         return self.log_path.read_text(errors="replace") if self.log_path.exists() else ""
 
     def pause(self) -> None:
-        """SIGSTOP: it stands still."""
+        """Suspends the process (SIGSTOP)."""
         self.process.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """SIGCONT."""
+        """Resumes the process (SIGCONT)."""
         self.process.send_signal(signal.SIGCONT)
 
     def kill(self) -> None:
-        """SIGKILL, and waits for its end."""
+        """Kills the process (SIGKILL) and waits for its end."""
         self.process.kill()
         self.process.wait()
 
     def end(self) -> int | None:
-        """SIGTERM, SIGKILL where that is not enough; its exit code."""
+        """Ends the process by SIGTERM, then SIGKILL; returns its exit code."""
         if self.process is None:
             return None
         if self.process.poll() is None:
@@ -92,12 +92,12 @@
         return self.process.returncode
 
     def __enter__(self) -> "HollowProcess":
-        """Starts it."""
+        """Starts the process."""
         self.start()
         return self
 
     def __exit__(
         self, kind: type[BaseException] | None, wrong: BaseException | None, trace: TracebackType | None
     ) -> None:
-        """Ends it, whatever went wrong."""
+        """Ends the process, also after an error."""
         self.end()
--- a/standins/hollow/report.py
+++ b/standins/hollow/report.py
@@ -1,9 +1,9 @@
-"""What a process of hollow routers, or a counted real router, reports: one JSON object a line.
+"""Reports of a process of hollow routers or of a counted real router: one JSON object a line.
 
-Counts are cumulative since the start of the process. Bytes are those that the operating system took from a
-socket's writer or gave to its reader: the payload of TCP and UDP. No allowance for headers of IP, TCP, UDP or
-the link is added. A message is a datagram; a frame of a stream between members; or a request, an answer or an
-event (comments that keep a feed open too) of HTTP.
+Counts are cumulative since the start of the process. Bytes are those that the operating system accepted from
+a socket's writer or delivered to its reader: the payload of TCP and UDP, without headers of IP, TCP, UDP or
+the link layer. A message is a datagram; a frame of a stream between members; or a request, a response or an
+event (including the comments that keep a feed open) of HTTP.
 """
 
 import os
@@ -20,7 +20,7 @@
     bytes: int = 0
 
     def add(self, messages: int, size: int) -> None:
-        """Counts further messages of that many bytes together."""
+        """Adds messages of size bytes in total."""
         self.messages += messages
         self.bytes += size
 
@@ -35,10 +35,10 @@
 class Traffic(msgspec.Struct):
     """Control traffic by kind.
 
-    view: datagrams of the view, and those that were refused. sharing: datagrams of sharing, and streams that
-    are not to a keeper: lists lent and borrowed. keeper_stream: streams to keepers: renewals of duties,
-    commands. purge_feed: the stream from desk or relay, and the calls that renew its lease and acknowledge
-    positions.
+    view: datagrams of the membership view, and refused ones. sharing: datagrams of sharing, and streams that
+    are not to a keeper: lists lent and borrowed. keeper_stream: streams to keepers: renewals of duty leases,
+    commands. purge_feed: the stream from desk or relay, and the calls that renew the purge lease and
+    acknowledge positions.
     """
 
     view: Exchanged = msgspec.field(default_factory=Exchanged)
@@ -55,14 +55,14 @@
 
 
 class Position(msgspec.Struct, frozen=True):
-    """Of the newest purge taken in."""
+    """The position of the newest purge that was applied."""
 
     epoch: int
     n: int
 
 
 class RouterReport(msgspec.Struct):
-    """One router. What a counted real router does not tell from outside is null."""
+    """One router. Values that cannot be observed from outside a counted real router are null."""
 
     name: str
     traffic: Traffic
@@ -75,7 +75,7 @@
 
 
 class Report(msgspec.Struct):
-    """One line. reactor_lag_s: the worst lateness of a 50 ms timer since the last report; large: starved."""
+    """One line. reactor_lag_s: largest delay of a 50 ms timer since the last report; large if starved."""
 
     time: float  # Unix seconds
     reactor_lag_s: float
@@ -87,13 +87,13 @@
 
 
 def resident_bytes() -> int:
-    """Resident memory of this process, from /proc/self/statm."""
+    """Returns the resident memory of this process, from /proc/self/statm."""
     with open("/proc/self/statm", encoding="ascii") as statm:
         return int(statm.read().split()[1]) * PAGE
 
 
 def summed(routers: list[RouterReport]) -> Traffic:
-    """The traffic of all of them together."""
+    """Returns the total traffic of all routers."""
     total = Traffic()
     for router in routers:
         total.include(router.traffic)
--- a/standins/hollow/reporter.py
+++ b/standins/hollow/reporter.py
@@ -1,4 +1,4 @@
-"""Writes a report line each so often, and measures how late the reactor runs."""
+"""Writes report lines periodically and measures the delay of the reactor's timers."""
 
 import os
 import time
@@ -9,53 +9,53 @@
 
 from .report import Report, RouterReport, resident_bytes, summed
 
-LOOK_EVERY = 0.05  # seconds between the looks at how late they come
+MEASURE_INTERVAL = 0.05  # seconds between two measurements
 
 
 class LagMeter:
-    """The worst lateness of a timer since it was last asked for."""
+    """The largest delay of a timer since the last call of take()."""
 
     def __init__(self, reactor: Any) -> None:
-        """reactor: by whose clock and timers it goes."""
+        """reactor: whose clock and timers are used."""
         self.reactor, self.worst, self.due = reactor, 0.0, 0.0
 
     def start(self) -> None:
-        """Looks for as long as the reactor runs."""
-        self.due = self.reactor.seconds() + LOOK_EVERY
-        self.reactor.callLater(LOOK_EVERY, self._look)
+        """Measures for as long as the reactor runs."""
+        self.due = self.reactor.seconds() + MEASURE_INTERVAL
+        self.reactor.callLater(MEASURE_INTERVAL, self._measure)
 
-    def _look(self) -> None:
+    def _measure(self) -> None:
         self.worst = max(self.worst, self.reactor.seconds() - self.due)
         self.start()
 
     def take(self) -> float:
-        """In seconds; a look that is due and still waits counts as late until now."""
+        """Returns the delay in seconds and resets it; a timer that is overdue now counts, too."""
         worst = max(self.worst, self.reactor.seconds() - self.due)
         self.worst = 0.0
         return worst
 
 
 class Reporter:
-    """Reports on one process to one file."""
+    """Writes the reports of one process to one file."""
 
     def __init__(
         self, reactor: Any, every: float, routers: Callable[[], list[RouterReport]], out: TextIO
     ) -> None:
-        """every: seconds; routers(): the reports of now, one a router."""
+        """every: seconds; routers(): the current reports, one for each router."""
         self.reactor, self.every, self.routers, self.out = reactor, every, routers, out
         self.lag = LagMeter(reactor)
 
     def start(self) -> None:
-        """The first report comes after one span."""
+        """Starts; the first report is written after one interval."""
         self.lag.start()
-        self.reactor.callLater(self.every, self._tell)
+        self.reactor.callLater(self.every, self._write_periodically)
 
-    def _tell(self) -> None:
-        self.reactor.callLater(self.every, self._tell)
+    def _write_periodically(self) -> None:
+        self.reactor.callLater(self.every, self._write_periodically)
         self.write()
 
     def write(self) -> None:
-        """One line now; the process ends where nobody reads it any more."""
+        """Writes one line now; stops the reactor if the reader is gone."""
         try:
             self.out.write(msgspec.json.encode(self.report()).decode() + "\n")
             self.out.flush()
@@ -63,7 +63,7 @@
             self.reactor.stop()
 
     def report(self) -> Report:
-        """As it stands now."""
+        """Returns the current report."""
         routers, worked = self.routers(), os.times()
         return Report(
             time=time.time(),
--- a/standins/hollow/router.py
+++ b/standins/hollow/router.py
@@ -1,4 +1,4 @@
-"""One hollow router: a member of the fleet and a follower of purges, assembled as `hookrouter serve` does."""
+"""A hollow router: a fleet member and purge follower, assembled as in `hookrouter serve`."""
 
 from collections import Counter
 from collections.abc import Callable, Sequence
@@ -20,53 +20,53 @@
 from .sockets import RouterReactor, SocketCounter
 from .synthetic_state import SyntheticState, synthetic_caches
 
-OFF = "off"  # the lease of a router without [purges]
+OFF = "off"  # lease state of a router without [purges]
 
 
 class LeaseHolder:
-    """What a PurgeFeed tells: purges are counted and dropped, the lease is held by the program's Fence."""
+    """Listener of a PurgeFeed: counts and drops the purges; the lease is held by the program's Fence."""
 
     def __init__(self, lease: int) -> None:
         """lease: of [purges], in tenths of a millisecond."""
         self.fence, self.received = Fence(lease), 0
 
     def heard(self, epoch: int) -> None:
-        """The feed keeps the epoch."""
+        """Does nothing; the feed keeps the epoch."""
 
     def purged(self, purges: Sequence[Purge]) -> None:
-        """Purges in their order."""
+        """Counts purges, which arrive in order."""
         self.received += len(purges)
 
     def whole(self, purges: Sequence[Purge], newest: PurgePosition) -> None:
-        """A snapshot of all that are live."""
+        """Counts the purges of a snapshot of all live ones."""
         self.received += len(purges)
 
     def adopt(self, state: SliceState) -> None:
-        """A sealed slice of the snapshot."""
+        """Counts the keys of a sealed slice of the snapshot."""
         self.received += state.keys
 
     def granted(self, asked: int, wall: int, span: int, desk: int) -> None:
-        """A renewal was answered."""
+        """Extends the lease after an answered renewal."""
         self.fence.at(steady())
         self.fence.granted(asked, span)
 
     def place(self, n: int) -> PurgePosition:
-        """All that was received is taken in, and may be answered for."""
+        """Returns n as the position applied and served from, since purges are applied on receipt."""
         return PurgePosition(n, n)
 
     def left(self) -> int:
-        """Of the lease, for who paces those that come back."""
+        """Returns the remaining lease, which the admission control of reconnects asks for."""
         self.fence.at(steady())
         return self.fence.left()
 
     def state(self) -> str:
-        """Of the lease now."""
+        """Returns the current state of the lease."""
         self.fence.at(steady())
         return self.fence.state
 
 
 class HollowRouter:
-    """Speaks on sockets of its own from start() on."""
+    """A hollow router with sockets of its own, used from start() on."""
 
     def __init__(
         self,
@@ -76,7 +76,7 @@
         caches: Sequence[str],
         log: Callable[..., None],
     ) -> None:
-        """caches: of which loads are told; none: made-up ones of its zone."""
+        """caches: whose loads are reported; if empty, synthetic ones of the zone."""
         fleet = sections["fleet"]
         self.name, self.traffic, self.counted = fleet["name"], Traffic(), Counter()
         self.reactor = RouterReactor(reactor)
@@ -106,22 +106,22 @@
         self.counted[name] += 1
 
     def start(self) -> None:
-        """Listens, joins the fleet and follows purges; twisted's CannotListenError where a port is taken."""
+        """Listens, joins the fleet and follows purges; twisted's CannotListenError if a port is in use."""
         self.member.start()
         if self.feed is not None:
             self.feed.start()
 
     def leave(self) -> Deferred:
-        """Says that it ends; fires once the desk was told."""
+        """Announces its leave; fires once the desk has been notified."""
         self.member.leave()
         return succeed(None) if self.feed is None else self.feed.leave()
 
     def end(self) -> None:
-        """Closes what is left."""
+        """Closes the remaining sockets."""
         self.member.end()
 
     def report(self) -> RouterReport:
-        """As it stands now."""
+        """Returns the current report."""
         row = RouterReport(
             self.name, self.traffic, lease=OFF, members_alive=self.member.roster.view.alive_count
         )
--- a/standins/hollow/sockets.py
+++ b/standins/hollow/sockets.py
@@ -1,8 +1,8 @@
-"""Counts control traffic at the sockets that a reactor makes; no code of the program is changed for it.
+"""Counts control traffic at the sockets that a reactor creates, without changes to the program.
 
-Methods of single objects are wrapped: a datagram port's write, a connection's writeSomeData (where Twisted
-learns how much the socket took) and a protocol's dataReceived. What is not control (clients, caches, the
-platform's feed) is left as it is.
+Methods of individual objects are wrapped: a datagram port's write, a connection's writeSomeData (whose result
+is the number of bytes that the socket accepted) and a protocol's dataReceived. Other traffic (clients,
+caches, the platform's feed) is not counted.
 """
 
 from collections.abc import Collection
@@ -19,23 +19,23 @@
 
 
 class RouterReactor:
-    """The process's reactor as one router of many sees it; methods set on it hide the shared reactor's."""
+    """A view of the process's reactor for one router; methods set on it hide the shared reactor's."""
 
     def __init__(self, reactor: Any) -> None:
-        """reactor: the one that all share."""
+        """reactor: the shared one."""
         self._reactor = reactor
         self.callLater, self.seconds = reactor.callLater, reactor.seconds
 
     def __getattr__(self, name: str) -> Any:
-        """All else is the shared reactor's."""
+        """Forwards all else to the shared reactor."""
         return getattr(self._reactor, name)
 
 
 class SocketCounter:
-    """Counts what passes over sockets that one reactor makes from now on."""
+    """Counts the traffic of sockets that a reactor creates from now on."""
 
     def __init__(self, reactor: Any, traffic: Traffic, keepers: Collection[str]) -> None:
-        """traffic: where it is counted; keepers: names of those whose streams are of their own kind."""
+        """traffic: the counters; keepers: names of the members whose streams count as keeper_stream."""
         self.traffic, self.keepers = traffic, frozenset(keepers)
         self._connect, reactor.connectTCP = reactor.connectTCP, self._connect_tcp
         self._listen, reactor.listenTCP = reactor.listenTCP, self._listen_tcp
@@ -67,7 +67,9 @@
         factory.buildProtocol = counted
 
     def _count(self, protocol: Any) -> None:
-        inner = getattr(protocol, "_wrappedProtocol", protocol)  # endpoints wrap what they connect
+        inner = getattr(
+            protocol, "_wrappedProtocol", protocol
+        )  # endpoints wrap the protocol that they connect
         if isinstance(inner, Stream):
             kind = self.traffic.keeper_stream if inner.name in self.keepers else self.traffic.sharing
             count_connection(protocol, kind, FrameMeter(), FrameMeter())
@@ -76,69 +78,69 @@
 
 
 def is_purge_feed(protocol: Any) -> bool:
-    """Whether it follows purges, or renews the lease on them."""
+    """Whether a protocol follows purges or renews the purge lease."""
     if isinstance(protocol, follower.Stream):
         return isinstance(protocol.feed, PurgeFeed)
     return isinstance(protocol, caller.Connection)
 
 
 def count_connection(protocol: Any, kind: Exchanged, sent: MessageMeter, received: MessageMeter) -> None:
-    """Counts both directions of a connection, from before its first byte on."""
+    """Counts both directions of a connection from its first byte on."""
     connect, take = protocol.makeConnection, protocol.dataReceived
 
     def connected(transport: Any) -> None:
         count_written(transport, kind.out, sent)
         connect(transport)
 
-    def came(data: bytes) -> None:
+    def data_received(data: bytes) -> None:
         kind.received.add(received.feed(data), len(data))
         take(data)
 
-    protocol.makeConnection, protocol.dataReceived = connected, came
+    protocol.makeConnection, protocol.dataReceived = connected, data_received
 
 
 def count_written(transport: Any, flow: Flow, meter: MessageMeter) -> None:
-    """Counts what the socket below a transport took."""
+    """Counts the bytes that the socket of a transport accepted."""
     write = transport.writeSomeData
 
-    def wrote(data: bytes) -> Any:
+    def write_some_data(data: bytes) -> Any:
         taken = write(data)
         if isinstance(taken, int) and taken > 0:
             flow.add(meter.feed(bytes(data[:taken])), taken)
         return taken
 
-    transport.writeSomeData = wrote
+    transport.writeSomeData = write_some_data
 
 
 class DatagramCounter:
-    """Counts the datagrams of one member: a Post is sharing's, all else the view's."""
+    """Counts the datagrams of one member: a Post as sharing, all others as view."""
 
     def __init__(self, datagrams: Datagrams, port: Any, traffic: Traffic) -> None:
-        """port: over which it sends."""
+        """port: the UDP port on which the member sends."""
         self.traffic = traffic
-        self.out = self.received = traffic.view  # the kind of the one that passes now
-        self._send, datagrams.send = datagrams.send, self._sending
-        self._write, port.write = port.write, self._written
-        self._take, datagrams.datagramReceived = datagrams.datagramReceived, self._came
-        self._heard, datagrams.heard = datagrams.heard, self._understood
+        self.out = self.received = traffic.view  # kind of the current datagram
+        self._send, datagrams.send = datagrams.send, self._send_counted
+        self._write, port.write = port.write, self._write_counted
+        self._take, datagrams.datagramReceived = datagrams.datagramReceived, self._datagram_received
+        self._heard, datagrams.heard = datagrams.heard, self._heard_counted
 
     def _kind(self, message: Any) -> Exchanged:
         return self.traffic.sharing if isinstance(message, Post) else self.traffic.view
 
-    def _sending(self, life: int, receiver: str, address: Any, message: Any) -> None:
+    def _send_counted(self, life: int, receiver: str, address: Any, message: Any) -> None:
         self.out = self._kind(message)
         self._send(life, receiver, address, message)
 
-    def _written(self, data: bytes, address: Any = None) -> Any:
-        written = self._write(data, address)  # an OSError is the sender's to see, and counts as nothing
+    def _write_counted(self, data: bytes, address: Any = None) -> Any:
+        written = self._write(data, address)  # an OSError is raised to the sender, and nothing is counted
         self.out.out.add(1, len(data))
         return written
 
-    def _understood(self, sender: str, life: int, address: Any, message: Any) -> None:
+    def _heard_counted(self, sender: str, life: int, address: Any, message: Any) -> None:
         self.received = self._kind(message)
         self._heard(sender, life, address, message)
 
-    def _came(self, data: bytes, address: Any) -> None:
-        self.received = self.traffic.view  # until it is understood
+    def _datagram_received(self, data: bytes, address: Any) -> None:
+        self.received = self.traffic.view  # until it is decoded
         self._take(data, address)
         self.received.received.add(1, len(data))
--- a/standins/hollow/synthetic_state.py
+++ b/standins/hollow/synthetic_state.py
@@ -1,4 +1,4 @@
-"""Made-up loads and experience that a hollow router shares in place of its own lookups'."""
+"""Synthetic loads and response times that a hollow router shares, since it has no lookups."""
 
 from collections.abc import Sequence
 from random import Random
@@ -7,15 +7,15 @@
 from hookrouter.decisions.sharing import soft_state
 from hookrouter.decisions.sharing.protocol import CacheState, KindTimes
 
-CACHES = 8  # names that are made up for a zone
-MOST_OUT, MOST_RATE = 4.0, 20.0  # sends out at one cache, and started there a second
-BLEND = 0.3  # of a new draw in the next load, as a moving average moves
-ANSWER_TIME = 300.0  # 30 ms, on average; tenths of a millisecond
+CACHES = 8  # synthetic caches of a zone
+MAX_OPEN_SENDS, MAX_RATE = 4.0, 20.0  # open sends at one cache, and sends started there a second
+BLEND_WEIGHT = 0.3  # weight of a new draw in the next load, as in a moving average
+ANSWER_TIME = 300.0  # mean in tenths of a millisecond: 30 ms
 KINDS = ("small", "large")
 
 
 class Load(NamedTuple):
-    """What a router tells of one cache, in the order in which sharing reads it."""
+    """The load that a router reports of one cache, in the field order that sharing reads."""
 
     cache: str
     source: str
@@ -24,45 +24,45 @@
 
 
 def synthetic_caches(zone: str) -> list[str]:
-    """Names that all routers of a zone have in common."""
+    """Returns cache names that all routers of a zone have in common."""
     return [f"{zone}-c{n}" for n in range(CACHES)]
 
 
 class SyntheticState:
-    """The state that hookrouter.fleet.member.sharing.Sharing asks for, from a seeded generator."""
+    """The state that hookrouter.fleet.member.sharing.Sharing needs, from a seeded generator."""
 
     def __init__(self, seed: str, caches: Sequence[str]) -> None:
-        """seed: the same one gives the same loads; caches: names of which loads are told."""
+        """seed: the same one gives the same loads; caches: those whose loads are reported."""
         self.random = Random(seed)
         self.current = {cache: self._draw(cache) for cache in sorted(caches)}
         self.waits = False
         self.adopted = 0
 
     def _draw(self, cache: str) -> Load:
-        return Load(cache, "", self.random.uniform(0, MOST_OUT), self.random.uniform(0, MOST_RATE))
+        return Load(cache, "", self.random.uniform(0, MAX_OPEN_SENDS), self.random.uniform(0, MAX_RATE))
 
     def loads(self, now: int) -> list[Load]:
-        """The loads of now: each moves a part of the way to a new draw."""
+        """Returns the current loads, each moved towards a new draw."""
         for cache, load in self.current.items():
             drawn = self._draw(cache)
             self.current[cache] = Load(
                 cache,
                 "",
-                load.out + BLEND * (drawn.out - load.out),
-                load.rate + BLEND * (drawn.rate - load.rate),
+                load.out + BLEND_WEIGHT * (drawn.out - load.out),
+                load.rate + BLEND_WEIGHT * (drawn.rate - load.rate),
             )
         return list(self.current.values())
 
     def listed(self) -> bool:
-        """The caches are known from the start."""
+        """Always true: the caches are known from the start."""
         return True
 
     def wait(self, waits: bool) -> None:
-        """Whether a router would not be ready yet."""
+        """Sets whether a router would wait before it is ready."""
         self.waits = waits
 
     def learnt(self) -> soft_state.SoftState:
-        """What a neighbour that starts borrows."""
+        """Returns the state that a starting neighbour borrows."""
         caches = [
             CacheState(cache, 0, False, ANSWER_TIME * self.random.uniform(0.5, 2.0), 0.0, -1, 0)
             for cache in self.current
@@ -72,7 +72,7 @@
         )
 
     def adopt(self, told: list[soft_state.SoftState]) -> int:
-        """Merged as a router merges it, then dropped; the number of rows."""
+        """Merges borrowed states as a router does, drops the result and returns its number of rows."""
         merged = soft_state.adopted(told)
         self.adopted = len(merged.failures) + len(merged.kind_times)
         return self.adopted
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -182,9 +182,12 @@
     assert [place.name for place in configuration.routers] == ["h0", "h2"]
     assert (configuration.seed, configuration.report_every_s) == (5, 0.5)
     sections = read_sections(configuration.routers[1])
-    assert sections["fleet"]["zone"] == "z0" and sections["fleet"]["listen"] == ("127.0.0.1", made.real["h2"])
+    assert sections["fleet"]["zone"] == "z0" and sections["fleet"]["listen"] == (
+        "127.0.0.1",
+        made.listen_port["h2"],
+    )
     assert [port for _, port in sections["purges"]["desk"]] == list(made.desks.values())
-    assert sections["fleet"]["keepers"]["k1"] == ("127.0.0.1", made.real["k1"])
+    assert sections["fleet"]["keepers"]["k1"] == ("127.0.0.1", made.listen_port["k1"])
 
 
 @pytest.mark.parametrize(
@@ -194,11 +197,11 @@
         ('{"seed": 1}', "`routers`"),
         ('{"seed": "a", "routers": []}', "`$.seed`"),
         ('{"seed": 1, "routers": [], "speed": 2}', "`speed`"),
-        ('{"seed": 1, "routers": []}', "one at least"),
+        ('{"seed": 1, "routers": []}', "at least one"),
         ('{"seed": 1, "report_every_s": 0, "routers": [{"name": "a", "site": "a"}]}', "report_every_s"),
         (
             '{"seed": 1, "routers": [{"name": "a", "site": "a"}, {"name": "a", "site": "b"}]}',
-            "a stands 2 times",
+            "a is listed 2 times",
         ),
     ],
 )
