--- a/standins/crowd/cache_work.py
+++ b/standins/crowd/cache_work.py
@@ -9,11 +9,11 @@
         "object",
         "part",
         "trace",
-        "who",
+        "router_number",
         "patience",
         "source",
-        "limit",
-        "words",
+        "stale_limit",
+        "directives",
         "fence",
         "key",
         "filling",
@@ -31,7 +31,7 @@
 class Job:
     """A lookup in progress; calls on_done(status, created_ms, note) once, unless it is cancelled before."""
 
-    __slots__ = ("cache", "done", "timer", "behind", "over")
+    __slots__ = ("cache", "on_done", "timer", "fill", "ended")
 
     def __init__(self, cache, on_done):
         self.cache, self.on_done, self.timer, self.fill, self.ended = cache, on_done, None, None, False
--- a/standins/crowd/client_connection.py
+++ b/standins/crowd/client_connection.py
@@ -35,7 +35,7 @@
                 asyncio.get_running_loop().call_soon(self._resend, lookup)
             else:
                 self.clients.end(lookup, "lost")
-        if not self.ended.withdrawn():
+        if not self.ended.done():
             self.ended.set_result(None)
 
     def _resend(self, lookup):
--- a/standins/crowd/clients.py
+++ b/standins/crowd/clients.py
@@ -47,7 +47,7 @@
     """A lookup of a client; allow: ms that it waits."""
 
     __slots__ = (
-        "at",
+        "created",
         "router",
         "kind",
         "object",
@@ -55,9 +55,9 @@
         "allow",
         "ref",
         "key",
-        "dup",
+        "is_duplicate",
         "sent",
-        "over",
+        "ended",
         "tries",
     )
 
--- a/standins/crowd/crowd.py
+++ b/standins/crowd/crowd.py
@@ -42,11 +42,11 @@
         program=lambda name: ("hookrouter",),
         keepers=KEEPERS,
         layout=None,
-        **cache_options,
+        **options,
     ):
-        self.times = {key: cache_options.pop(key, value) for key, value in TIMES.items()}
+        self.times = {key: options.pop(key, value) for key, value in TIMES.items()}
         self.layout = fleet_layout = layout or Layout(
-            folder, routers, caches, zones, parents, sections, keeper_sections, keepers, **cache_options
+            folder, routers, caches, zones, parents, sections, keeper_sections, keepers, **options
         )
         self.folder, self.zones, self.zone = fleet_layout.folder, fleet_layout.zones, fleet_layout.zone
         self.routers, self.keepers, self.members = (
--- a/standins/crowd/layout.py
+++ b/standins/crowd/layout.py
@@ -182,12 +182,8 @@
 
     def command_arguments(self, name):
         """Returns the arguments of the command that runs a member."""
-        command_arguments = ["fleet", "serve"] if name in self.keepers else ["serve"]
-        return (
-            [*command_arguments, "--site", str(self.folder / f"{name}.ini")]
-            if self.sections
-            else command_arguments
-        )
+        arguments = ["fleet", "serve"] if name in self.keepers else ["serve"]
+        return [*arguments, "--site", str(self.folder / f"{name}.ini")] if self.sections else arguments
 
     def configure(self, name, known, platform, report, times):
         """Writes a router's configuration and returns its path; known: the snapshot of the feed."""
--- a/standins/crowd/processes.py
+++ b/standins/crowd/processes.py
@@ -33,8 +33,8 @@
 def cpu(pid):
     """Returns the CPU seconds of a process."""
     with open(f"/proc/{pid}/stat") as stat:
-        arguments = stat.read().rpartition(")")[2].split()
-    return (int(arguments[11]) + int(arguments[12])) / os.sysconf("SC_CLK_TCK")
+        fields = stat.read().rpartition(")")[2].split()
+    return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 class Processes:
--- a/standins/crowd/verdict.py
+++ b/standins/crowd/verdict.py
@@ -28,23 +28,26 @@
         self.lost = [row for row in self.lookups if row[3] == "lost" and not self._router_had_fault(row)]
         self.answered_twice, self.corrupt = table["twice"], table["bad"]
         self.stale = [row for row in self.lookups if row[5] and self._stale(row, told["purged"])]
-        self.overloads = [fall for row in caches for fall in row["falls"]]
+        self.overloads = [overload for row in caches for overload in row["falls"]]
         self.after_drain = [
-            use for row in caches for use in row["after_drain"] if use[0] > DRAIN_GRACE_MS + self.slack
+            late_use
+            for row in caches
+            for late_use in row["after_drain"]
+            if late_use[0] > DRAIN_GRACE_MS + self.slack
         ]
         self.invalid_requests = [target for row in caches for target in row["void"]]
         self.repeated_effects = self._find_repeated_effects()
         self.violations = [
             f"{what}: {len(rows)}, such as {rows[0]}"
             for what, rows in (
-                ("lookups lost by a router that lived", self.lost),
+                ("lookups lost by a router without a fault", self.lost),
                 ("answered twice", self.answered_twice),
-                ("bytes that no cache made", self.corrupt),
-                ("older than a purge or its time", self.stale),
-                ("cold caches pushed over", self.overloads),
-                ("drained caches used", self.after_drain),
+                ("answers with bytes that no cache produced", self.corrupt),
+                ("answers older than a purge or their freshness limit", self.stale),
+                ("cold caches overloaded", self.overloads),
+                ("drained caches used after the grace time", self.after_drain),
                 ("requests that no client sent", self.invalid_requests),
-                ("effects twice", self.repeated_effects),
+                ("single-shot effects that ran more than once", self.repeated_effects),
             )
             if rows
         ]
