--- a/standins/crowd/__main__.py
+++ b/standins/crowd/__main__.py
@@ -14,6 +14,7 @@
 
 
 def main():
+    """Parses the command line, runs the crowd and prints its figures and violations."""
     parser = argparse.ArgumentParser(prog="python -m standins.crowd", description=__doc__)
     parser.add_argument("--routers", type=int, default=12)
     parser.add_argument("--caches", type=int, default=8)
--- a/standins/crowd/cache_server.py
+++ b/standins/crowd/cache_server.py
@@ -28,6 +28,7 @@
         self.transport = None
 
     def connection_made(self, transport):
+        """A vanished cache does not read from new connections."""
         self.transport = transport
         self.last_active = self.server.loop.time()
         self.server.connections.add(self)
@@ -35,12 +36,14 @@
             transport.pause_reading()
 
     def connection_lost(self, reason):
+        """Cancels the lookup in progress."""
         self.server.connections.discard(self)
         if self.job is not None:
             self.job.cancel()
             self.job = None
 
     def data_received(self, data):
+        """Parses the next request; aborts connections that send too much."""
         self.last_active = self.server.loop.time()
         self.buffer = self.buffer + data if self.buffer else data
         end = self.buffer.find(b"\r\n\r\n")
@@ -121,6 +124,7 @@
         cache.on_overload = self.crash
 
     async def open(self):
+        """Listens, unless it does so already."""
         if self.server is None:
             self.server = await self.loop.create_server(
                 lambda: Connection(self), "127.0.0.1", self.port, backlog=BACKLOG, reuse_address=True
--- a/standins/crowd/cache_work.py
+++ b/standins/crowd/cache_work.py
@@ -38,15 +38,18 @@
         cache.jobs.add(self)
 
     def end_after(self, seconds, status, created_ms=0, note=""):
+        """Ends the job after a delay."""
         loop = self.cache.loop
         self.timer = loop.call_later(seconds, self.end, status, created_ms, note)
 
     def end(self, status, created_ms=0, note=""):
+        """Reports the outcome, unless the job has ended before."""
         if not self.ended:
             self.cancel()
             self.on_done(status, created_ms, note)
 
     def cancel(self):
+        """Ends the job without an outcome."""
         if not self.ended:
             self.ended = True
             self.cache.jobs.discard(self)
--- a/standins/crowd/caches.py
+++ b/standins/crowd/caches.py
@@ -58,6 +58,7 @@
         return len(self.jobs) - self.waiting_jobs
 
     def is_cold(self, now_ms):
+        """Whether the cache restarted less than its cold period ago; an origin is never cold."""
         return (
             self.type != "origin"
             and bool(self.started_ms)
--- a/standins/crowd/client_connection.py
+++ b/standins/crowd/client_connection.py
@@ -19,6 +19,7 @@
         self.ended = None
 
     def connection_made(self, transport):
+        """Resets the state of the connection and sends a check call."""
         self.transport, self.frames, self.seqid = transport, thrift.Frames(10_000_000), 1
         self.pending, self.withdrawn = {}, set()
         self.ended = asyncio.get_running_loop().create_future()
@@ -27,6 +28,7 @@
         )
 
     def connection_lost(self, reason):
+        """Ends pending lookups as lost, or resends those that raced with a close."""
         self.is_up = False
         now, pending, self.pending = time.time(), self.pending, {}
         for lookup in pending.values():
@@ -47,6 +49,7 @@
         self.clients.end(lookup, "unsent")
 
     def send(self, lookup):
+        """Sends a lookup as an execute call."""
         fields = {
             "service": lookup.kind,
             "ref": lookup.ref,
@@ -94,6 +97,7 @@
         self.clients.end(lookup, outcome)
 
     def data_received(self, data):
+        """Handles the messages in data; malformed ones abort the connection."""
         try:
             for frame in self.frames.feed(data):
                 self._handle_message(thrift.Message(frame))
--- a/standins/crowd/clients.py
+++ b/standins/crowd/clients.py
@@ -87,6 +87,7 @@
         self.interval, self.open_count, self.choice_time = None, 0, 0.0
 
     async def start(self):
+        """Starts to connect to all routers."""
         for router in self.routers:
             for _ in range(self.connection_count):
                 connection = Connection(self, router)
@@ -136,15 +137,19 @@
         self.loop.call_soon(self._send_due)
 
     def stop(self):
+        """Ends the load; open lookups still get their outcomes."""
         self.interval = None
 
     def busy(self):
+        """Whether the load runs or lookups are open."""
         return self.interval is not None or self.open_count > 0
 
     def admitted(self):
+        """Returns the names of the routers that admit clients."""
         return [router.name for router in self.routers if router.admitted]
 
     def shares(self):
+        """Returns each router's share of all lookups."""
         total = sum(router.share for router in self.routers)
         return {router.name: router.share / total for router in self.routers}
 
@@ -216,6 +221,7 @@
     # ---- outcomes
 
     def end(self, lookup, outcome, created_ms=0):
+        """Records the outcome of a lookup once; retries a share of the failed ones."""
         if lookup.ended:
             return
         lookup.ended = True
@@ -267,6 +273,7 @@
 
 
 def make(spec):
+    """Returns the clients of a spec, for remote.main()."""
     return Clients(spec)
 
 
--- a/standins/crowd/crowd.py
+++ b/standins/crowd/crowd.py
@@ -116,20 +116,25 @@
     # ---- routers and keepers, by name
 
     def start(self, *names):
+        """Starts processes and waits until they are ready; tells the relay their ids."""
         self.processes.start(names)
         if self.links is not None:
             self.links.pids(of={name: self.processes.by_name[name].pid for name in names})
 
     def kill(self, *names):
+        """Sends SIGKILL and waits for the end."""
         self.processes.kill(names)
 
     def term(self, *names):
+        """Sends SIGTERM; returns {name: exit code}."""
         return self.processes.term(names)
 
     def stop(self, *names):
+        """Sends SIGSTOP."""
         self.processes.signal(names, signal.SIGSTOP, "stop")
 
     def cont(self, *names):
+        """Sends SIGCONT."""
         self.processes.signal(names, signal.SIGCONT, "cont")
 
     def ready(self, names=None, within=30.0):
@@ -149,6 +154,7 @@
         }
 
     def counters(self, names=None):
+        """Returns {name: {counter: value}} of these routers, or all."""
         return self.processes.counters(names or self.routers)
 
     def verdict(self, slack=SLACK):
--- a/standins/crowd/feed.py
+++ b/standins/crowd/feed.py
@@ -20,6 +20,7 @@
         self.followers, self.servers, self.stopped = {}, {}, False
 
     async def start(self):
+        """Publishes the first member list and listens on the port of each router."""
         self.publish({"members": {"index": 1, "snapshot": True, "endpoints": list(self.members.values())}})
         for router, port in self.ports.items():
             self.servers[router] = await asyncio.start_server(
--- a/standins/crowd/processes.py
+++ b/standins/crowd/processes.py
@@ -80,11 +80,13 @@
         self.events.append((time.time(), "start", name))
 
     def signal(self, names, signal_number, event):
+        """Sends a signal and records it as an event."""
         for name in names:
             self.events.append((time.time(), event, name))
             self.by_name[name].send_signal(signal_number)
 
     def kill(self, names):
+        """Sends SIGKILL and waits for the end."""
         self.signal(names, signal.SIGKILL, "kill")
         for name in names:
             self.by_name[name].wait()
@@ -95,9 +97,11 @@
         return {name: self.by_name[name].wait(TERM_TIMEOUT) for name in names}
 
     def alive(self):
+        """Returns the names of the running processes."""
         return [name for name, process in self.by_name.items() if process.poll() is None]
 
     def log(self, name):
+        """Returns the output of a process so far."""
         path = self.folder / f"{name}.log"
         return path.read_text(errors="replace") if path.exists() else ""
 
@@ -132,6 +136,7 @@
         return found
 
     def end(self):
+        """Ends all processes by SIGTERM, then SIGKILL after TERM_TIMEOUT."""
         for process in self.by_name.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
--- a/standins/crowd/relay.py
+++ b/standins/crowd/relay.py
@@ -28,9 +28,11 @@
         self.relay, self.name, self.transport = relay, name, None
 
     def connection_made(self, transport):
+        """Keeps the transport, by which datagrams of this member are sent."""
         self.transport = transport
 
     def datagram_received(self, data, address):
+        """Passes a datagram on to the relay."""
         self.relay.datagram_arrived(address, self.name, data)
 
 
@@ -46,6 +48,7 @@
         self.heal()
 
     async def start(self):
+        """Listens on all advertised ports and stream ports."""
         self.loop = asyncio.get_running_loop()
         for name, row in self.members.items():
             if "shown" not in row:
@@ -63,6 +66,7 @@
     # ---- datagrams
 
     def datagram_arrived(self, address, receiver, data):
+        """Counts a datagram, then drops it or forwards it with the current faults."""
         sender = self.names.get(address)
         self.packets[sender] = self.packets.get(sender, 0) + 1
         self.bytes[sender] = self.bytes.get(sender, 0) + len(data)
@@ -190,9 +194,11 @@
         self.delay, self.jitter, self.stream_delay = seconds, jitter, seconds if streams else 0.0
 
     def lose(self, share):
+        """Drops that share of datagrams."""
         self.loss = share
 
     def double(self, share):
+        """Duplicates that share of datagrams."""
         self.duplicate_share = share
 
     def disorder(self, share):
--- a/standins/crowd/remote.py
+++ b/standins/crowd/remote.py
@@ -74,6 +74,7 @@
         self.lines = self.socket.makefile("rb")
 
     def call(self, command, **values):
+        """Runs a command with keyword arguments and returns its result."""
         self.socket.sendall(json.dumps({"do": command, "with": values}).encode() + b"\n")
         answer = json.loads(self.lines.readline() or b'{"wrong": "it has ended"}')
         if "wrong" in answer:
@@ -81,6 +82,7 @@
         return answer["told"]
 
     def end(self):
+        """Ends the process by closing its standard input, by SIGKILL after 5 s."""
         self.socket.close()
         self.process.stdin.close()
         try:
--- a/standins/crowd/settings.py
+++ b/standins/crowd/settings.py
@@ -79,6 +79,7 @@
 
 
 def configuration(name, listen_port, feed_port, known, router_settings):
+    """Returns the whole configuration of a router; known: the snapshot of the feed."""
     return {
         "name": name,
         "listen": f"127.0.0.1:{listen_port}",
--- a/standins/crowd/verdict.py
+++ b/standins/crowd/verdict.py
@@ -18,7 +18,7 @@
 
     def __init__(self, table, caches, told, events, slack=SLACK):
         self.lookups, self.caches, self.slack = table["lookups"], caches, 1_000 * slack
-        self.router_faults = [(at, name) for at, what, name in events if what in ("kill", "stop")]
+        self.router_faults = [(fault_s, name) for fault_s, event, name in events if event in ("kill", "stop")]
         self.outcomes = {}
         for row in self.lookups:
             self.outcomes[row[3]] = self.outcomes.get(row[3], 0) + 1
@@ -55,28 +55,28 @@
     def _router_had_fault(self, row):
         """Whether the lookup's router was killed or stopped within FAULT_WINDOW of the lookup."""
         return any(
-            name == row[1] and at - FAULT_WINDOW <= row[0] + row[4] and row[0] <= at + FAULT_WINDOW
-            for at, name in self.router_faults
+            name == row[1] and fault_s - FAULT_WINDOW <= row[0] + row[4] and row[0] <= fault_s + FAULT_WINDOW
+            for fault_s, name in self.router_faults
         )
 
     def _stale(self, row, purged):
-        at, _, kind, _, _, created_ms, object_ = row
+        sent_s, _, kind, _, _, created_ms, object_ = row
         fresh, grace = objects.KINDS[kind][3:5]
-        if fresh and at * 1_000 - created_ms > fresh + grace + self.slack:
+        if fresh and sent_s * 1_000 - created_ms > fresh + grace + self.slack:
             return True
         return any(
-            created_ms < when
-            and at * 1_000 > told + PURGE_MS + self.slack
+            created_ms < purge_ms
+            and sent_s * 1_000 > told_ms + PURGE_MS + self.slack
             and (key == object_ if key else group == objects.group(object_))
-            for told, when, key, group in purged
+            for told_ms, purge_ms, key, group in purged
         )
 
     def _find_repeated_effects(self):
         """Returns single-shot side effects that ran more than once; guarded ones may run again."""
         seen = {}
         for row in self.caches:
-            for key, effect, at, name in row["effects"]:
-                seen.setdefault((effect, key), []).append((at, name))
+            for key, effect, ran_ms, name in row["effects"]:
+                seen.setdefault((effect, key), []).append((ran_ms, name))
         return [
             (key, runs) for (effect, key), runs in seen.items() if len(runs) > 1 and effect == "single_shot"
         ]
--- a/standins/crowd/world.py
+++ b/standins/crowd/world.py
@@ -37,6 +37,7 @@
         return {**feed_row, "address": f"127.0.0.1:{row['port']}", "status": "active", **changes}
 
     async def start(self):
+        """Starts the servers of all caches and the feed; returns the feed's first snapshot."""
         loop = asyncio.get_running_loop()
         for row in self.spec["caches"]:
             await self._add(row)
@@ -63,18 +64,22 @@
     # ---- commands: faults
 
     def vanish(self, name):
+        """Makes a cache unreachable without closing its connections."""
         self._record_event("vanish", name)
         self.servers[name].vanish()
 
     def hang(self, name):
+        """Makes a cache accept requests without answering them."""
         self._record_event("hang", name)
         self.servers[name].hang()
 
     def slow(self, name, times):
+        """Multiplies the transfer times of a cache."""
         self._record_event("slow", name)
         self.caches[name].slowdown = times
 
     async def heal(self, name):
+        """Ends the faults of a cache."""
         self._record_event("heal", name)
         await self.servers[name].heal()
 
@@ -122,6 +127,7 @@
         self.feed.update_members(self._feed_row(cache.spec_row))
 
     def leave(self, name):
+        """Removes a cache at once and announces that."""
         self._record_event("leave", name)
         cache = self.caches[name]
         cache.drain_ms = cache.drain_ms or unix_ms()
@@ -130,6 +136,7 @@
         self.servers[name].close_all()
 
     def purge(self, key=None, group=None):
+        """Announces a purge of an object or a group; caches receive it within PURGE_DELAYS_MS."""
         purge_ms = round(unix_ms())
         told_ms = self.feed.publish(
             {"purge": {"at": purge_ms, **({"key": key} if key else {"group": group})}}
@@ -149,6 +156,7 @@
     # ---- commands: tables
 
     def known(self):
+        """Returns the snapshot of the feed for a new router."""
         return self.feed.snapshot()
 
     def warm(self, names, share=1.0):
@@ -159,6 +167,7 @@
                     cache.store((kind, object_, part), int(unix_ms()))
 
     def names(self):
+        """Returns {cache: state}."""
         return {name: cache.state for name, cache in self.caches.items()}
 
     def tables(self, path):
@@ -186,6 +195,7 @@
                 )
 
     def told(self):
+        """Returns the events and purges that were announced."""
         return {"events": self.events, "purged": self.purged, "at": time.time() * 1_000}
 
 
--- a/standins/datagram_proxy.py
+++ b/standins/datagram_proxy.py
@@ -67,13 +67,16 @@
     def split(self, *sides):
         """Partitions the network: blocks datagrams between members of different sides."""
         side = {name: number for number, names in enumerate(sides) for name in names}
-        self.cuts = {(a, b) for a in side for b in side if side[a] != side[b]}
+        self.cuts = {
+            (sender, receiver) for sender in side for receiver in side if side[sender] != side[receiver]
+        }
 
     def heal(self):
         """Removes all faults."""
         self.cuts, self.loss, self.duplicate, self.delay, self.jitter = set(), 0.0, 0.0, 0.0, 0.0
 
     def close(self):
+        """Stops the thread and closes the sockets."""
         self.closed = True
         time.sleep(0.01)
         for sock in self.sockets.values():
--- a/standins/fault_injection.py
+++ b/standins/fault_injection.py
@@ -15,6 +15,7 @@
 
 
 def read_faults(path):
+    """Returns the requested faults, {} if the file is missing or invalid."""
     try:
         return json.loads(Path(path).read_text())
     except (OSError, ValueError):
@@ -22,6 +23,7 @@
 
 
 def install(path):
+    """Replaces the write of the keeper's log and, for a rate other than 1, the clock of leases."""
     from hookrouter.fleet.member import service
     from hookrouter.stores import keeper_log
 
--- a/standins/followers.py
+++ b/standins/followers.py
@@ -34,7 +34,14 @@
     def __init__(self, sections, name, history, rng, forget, rude, deadlines):
         purges = sections["purges"]
         super().__init__(
-            reactor, deadlines, self, follows(purges), purges, name, lambda *a, **k: None, lambda what: None
+            reactor,
+            deadlines,
+            self,
+            follows(purges),
+            purges,
+            name,
+            lambda *arguments, **named: None,
+            lambda what: None,
         )
         if "admission" in sections and not rude:
             self.pace()
@@ -49,23 +56,28 @@
     # ---- calls of the feed
 
     def purged(self, purges):
+        """Purges were received."""
         self.reached_end = len(purges) < MOST_IN_EVENT
         self.record_state()
 
     def whole(self, purges, newest):
+        """A snapshot was received."""
         self.reached_end = True
         self.record_state()
 
     def granted(self, asked, wall, span, desk):
+        """A lease renewal was answered."""
         self.fence.at(steady())
         self.fence.granted(asked, span)
         self.record_state()
 
     def left(self):
+        """Returns the remaining lease."""
         self.fence.at(steady())
         return self.fence.left()
 
     def came(self, stream, data):
+        """Handles an event; the follower counts as connected once no more events are pending."""
         before, self.reached_end = self.place.position, False
         super().came(stream, data)
         reached_end = self.reached_end or self.place.position == before  # a heartbeat: no events are pending
@@ -74,6 +86,7 @@
             self.record_state()
 
     def went_down(self, stream, why):
+        """Records the loss of the connection; a share of followers loses its position."""
         if self.connected:
             self.connected = False
             if (
@@ -107,6 +120,7 @@
         """Does nothing; the feed keeps the epoch."""
 
     def place(self, n):
+        """Returns the number as the position applied and served from."""
         return n, n
 
 
@@ -120,6 +134,7 @@
 @click.option("--rude", default=0.0, help="Share of followers that ignore admission control.")
 @click.option("--prefix", default="f", help="Prefix of the followers' names.")
 def main(site, count, history, forget, rude, prefix):
+    """Runs the followers until SIGTERM."""
     sections, rng = read(site), Random(count)
     file = open(history, "w", encoding="utf-8", buffering=1)
     deadlines = Deadlines(reactor)
--- a/standins/links.py
+++ b/standins/links.py
@@ -84,6 +84,7 @@
         self.reset()
 
     def close(self):
+        """Stops listening and resets all connections."""
         self.closed = True
         self.server.close()
         self.reset()
--- a/standins/purge_rig.py
+++ b/standins/purge_rig.py
@@ -79,11 +79,13 @@
         return process
 
     def start_desk(self):
+        """Starts the purge desk."""
         return self.start(
             "hookrouter", "purges", "serve", "--site", self.sites["desk"], ready_text="serving purges"
         )
 
     def start_relay(self):
+        """Starts the purge relay."""
         return self.start(
             "hookrouter", "purges", "relay", "--site", self.sites["relay"], ready_text="serving purges"
         )
@@ -106,12 +108,14 @@
         return path
 
     def kill(self, process):
+        """Sends SIGKILL and waits for the end."""
         process.kill()
         process.wait()
 
     # ---- calls
 
     def call(self, method, path, body=None, port=None):
+        """Calls the desk, or the relay at port; returns the status and the decoded body."""
         connection = http.client.HTTPConnection("127.0.0.1", port or self.port, timeout=5)
         try:
             connection.request(
@@ -126,6 +130,7 @@
             connection.close()
 
     def status(self, port=None):
+        """Returns the status of the desk, or of the relay at port."""
         return self.call("GET", "/v1/status", port=port)[1]
 
     def submit(self, names):
@@ -147,17 +152,18 @@
         return None
 
     def submit_many(self, count):
-        for at in range(0, count, 1_000):
-            self.submit([f"old{at + n}" for n in range(min(1_000, count - at))])
+        """Submits that many purges in batches of 1,000."""
+        for first in range(0, count, 1_000):
+            self.submit([f"old{first + index}" for index in range(min(1_000, count - first))])
 
     def start_purges(self, interval):
         """Submits a purge every so many seconds, until stop_purges()."""
 
         def run():
-            n = 0
+            number = 0
             while not self.stop_purging.wait(interval):
-                self.submit([f"new{n}"])
-                n += 1
+                self.submit([f"new{number}"])
+                number += 1
 
         self.purge_thread = threading.Thread(target=run, daemon=True)
         self.purge_thread.start()
@@ -178,22 +184,28 @@
         deadline = time.monotonic() + within
         paths = [path] if isinstance(path, str) else path
         while time.monotonic() < deadline:
-            up = {}
-            for at, name, _, _, connected in [row for one in paths for row in self.read_history(one)]:
-                up[name] = at if connected else None
-            if len(up) == count and all(up.values()) and max(up.values()) >= since:
-                return max(up.values())
+            connected_since = {}
+            for wall_ms, name, _, _, connected in [row for one in paths for row in self.read_history(one)]:
+                connected_since[name] = wall_ms if connected else None
+            if (
+                len(connected_since) == count
+                and all(connected_since.values())
+                and max(connected_since.values()) >= since
+            ):
+                return max(connected_since.values())
             time.sleep(0.05)
-        raise AssertionError(f"{sum(map(bool, up.values()))} of {count} are back after {within} s")
+        raise AssertionError(
+            f"{sum(map(bool, connected_since.values()))} of {count} are connected after {within} s"
+        )
 
     def effect_times(self):
         """Returns [(n, wall ms from which it is in effect)] of the last acknowledged purges, by the desk."""
         found = []
         for number in self.acknowledged[-200:]:
             _, facts = self.call("GET", f"/v1/purges/{number}")
-            at = facts.get("in_effect_ms") or facts.get("latest_ms")
-            if at is not None:
-                found.append((int(number.partition(".")[2]), at))
+            wall_ms = facts.get("in_effect_ms") or facts.get("latest_ms")
+            if wall_ms is not None:
+                found.append((int(number.partition(".")[2]), wall_ms))
         return found
 
     def stale_answers(self, path, slack=100):
@@ -203,15 +215,20 @@
         """
         effects, found, since = self.effect_times(), [], {}
         paths = [path] if isinstance(path, str) else path
-        for at, name, may_answer, n, _ in [row for one in paths for row in self.read_history(one)]:
-            could_answer, place = since.get(name, (False, 0))
-            since[name] = may_answer, n
-            missed = [purge for purge, effect_ms in effects if purge > place and effect_ms + slack < at]
+        for wall_ms, name, may_answer, position, _ in [
+            row for one in paths for row in self.read_history(one)
+        ]:
+            could_answer, applied = since.get(name, (False, 0))
+            since[name] = may_answer, position
+            missed = [
+                purge for purge, effect_ms in effects if purge > applied and effect_ms + slack < wall_ms
+            ]
             if could_answer and missed:
-                found.append((name, place, missed[0]))
+                found.append((name, applied, missed[0]))
         return found
 
     def stop_purges(self):
+        """Ends start_purges() and waits for its last purge."""
         self.stop_purging.set()
         if self.purge_thread is not None:
             self.purge_thread.join()
--- a/standins/register.py
+++ b/standins/register.py
@@ -38,6 +38,7 @@
 
 
 def serve(port, path):
+    """Serves requests on a port until the process is killed; appends the audit log to path."""
     register = Register(open(path, "a"))
 
     class Handler(socketserver.StreamRequestHandler):
--- a/standins/rig.py
+++ b/standins/rig.py
@@ -102,6 +102,7 @@
         )
 
     def start(self, *names):
+        """Starts these processes, or all."""
         for name in names or self.names:
             out = open(self.folder / f"{name}.log", "ab")
             arguments = ["serve"] if name in self.configs else ["fleet", "serve"]
@@ -168,6 +169,7 @@
         return {row["duty"]: row for row in json.loads(out)} if code == 0 else {}
 
     def status(self):
+        """Returns the status of the fleet as the command reports it."""
         code, out = self.command("status", "--json")
         return json.loads(out)
 
@@ -191,6 +193,7 @@
         os.replace(self.folder / f"{name}.new", self.folder / f"{name}.shim")
 
     def kill(self, name):
+        """Sends SIGKILL and waits for the end."""
         self.processes[name].kill()
         self.processes[name].wait()
 
@@ -201,6 +204,7 @@
         self._limit_file_size(name, max(1, min(size - size % 4096, FULL_DISK_LIMIT)))
 
     def free_disk(self, name):
+        """Ends fill_disk()."""
         self._limit_file_size(name, resource.RLIM_INFINITY)
 
     def _limit_file_size(self, name, size):
@@ -208,12 +212,15 @@
         resource.prlimit(self.processes[name].pid, resource.RLIMIT_FSIZE, limits)
 
     def pause(self, name):
+        """Suspends a process (SIGSTOP)."""
         self.processes[name].send_signal(signal.SIGSTOP)
 
     def resume(self, name):
+        """Resumes a process (SIGCONT)."""
         self.processes[name].send_signal(signal.SIGCONT)
 
     def links_of(self, name):
+        """Returns the TCP proxies from and to a process."""
         return [link for ends, link in self.links.items() if name in ends]
 
     def inject_fault(self, name, fault):
@@ -254,6 +261,7 @@
         )
 
     def steps(self, duty):
+        """Returns the number of accepted steps of a duty."""
         return sum(1 for row in self.audit_rows() if row["duty"] == duty and row["ok"] and row["step"])
 
     def audit_violations(self):
@@ -272,6 +280,7 @@
         return violations
 
     def stop(self):
+        """Ends all processes and proxies."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
@@ -297,6 +306,7 @@
         }
 
     def log(self, name):
+        """Returns the output of a process so far."""
         path = self.folder / f"{name}.log"
         return path.read_text() if path.exists() else ""
 
