--- a/standins/crowd/cache_work.py
+++ b/standins/crowd/cache_work.py
@@ -69,13 +69,13 @@
         """Makes a job wait for this fill; a waiting job uses no capacity of the cache."""
         self.waiting.append(job)
         job.fill = self
-        self.cache.idle += 1
+        self.cache.waiting_jobs += 1
 
     def leave(self, job):
         """Removes a waiting job; the last one cancels the fetch."""
         if job in self.waiting:
             self.waiting.remove(job)
-            self.cache.idle -= 1
+            self.cache.waiting_jobs -= 1
             if not self.waiting and self.job is not None:
                 self.job.cancel()
                 self.cache.fills.pop(self.copy_key, None)
--- a/tests/crowd_mistakes.py
+++ b/tests/crowd_mistakes.py
@@ -1,4 +1,7 @@
-"""The program with a mistake on purpose, for the rig to find: python -m tests.crowd_mistakes NAME WORDS..."""
+"""Runs the program with a seeded mistake that the checks of a crowd must detect.
+
+python -m tests.crowd_mistakes NAME ARGUMENTS...; every mistake comes with routers that ignore cold starts.
+"""
 
 import sys
 
@@ -10,15 +13,15 @@
 satisfied, listed, send = Front.satisfied, Router.listed, Caches.send
 
 
-def warm(row):
+def mark_as_warm(row):
     return row._replace(born=0)
 
 
-def without_coldness(router, event):
-    listed(router, event._replace(caches=tuple(map(warm, event.caches))))
+def listed_without_cold_starts(router, event):
+    listed(router, event._replace(caches=tuple(map(mark_as_warm, event.caches))))
 
 
-def twice(front, call, pieces, length):
+def satisfied_twice(front, call, pieces, length):
     connection, name = front.connections.get(call[0]), b"execute"
     satisfied(front, call, pieces, length)
     from hookrouter.front import calls
@@ -26,17 +29,17 @@
     connection.write(calls.satisfied(name, call[1], pieces, length))
 
 
-def spoilt(front, call, pieces, length):
+def satisfied_with_corrupt_bytes(front, call, pieces, length):
     pieces = tuple(bytes(piece).replace(b".", b",") for piece in pieces)
     satisfied(front, call, pieces, length)
 
 
-def silent(front, call, pieces, length):
+def never_satisfied(front, call, pieces, length):
     front.connections.get(call[0]).open.pop(call[1])
 
 
-def passes_over_drains(router, event):
-    without_coldness(
+def listed_without_drains(router, event):
+    listed_without_cold_starts(
         router,
         event._replace(
             caches=tuple(
@@ -47,25 +50,26 @@
     )
 
 
-def sends_again(caches, name, errand, *how):
+def send_twice(caches, name, errand, *how):
     if errand.kind == "order":
         send(caches, name, errand, *how)
     return send(caches, name, errand, *how)
 
 
 MISTAKES = {
-    "twice": lambda: setattr(Front, "satisfied", twice),
-    "spoilt": lambda: setattr(Front, "satisfied", spoilt),
-    "silent": lambda: setattr(Front, "satisfied", silent),
+    "twice": lambda: setattr(Front, "satisfied", satisfied_twice),
+    "spoilt": lambda: setattr(Front, "satisfied", satisfied_with_corrupt_bytes),
+    "silent": lambda: setattr(Front, "satisfied", never_satisfied),
     "purges": lambda: setattr(Router, "purged", lambda router, event: None),
-    "drains": lambda: setattr(Router, "listed", passes_over_drains),
-    "effects": lambda: setattr(Caches, "send", sends_again),
+    "drains": lambda: setattr(Router, "listed", listed_without_drains),
+    "effects": lambda: setattr(Caches, "send", send_twice),
     "cold": lambda: None,
 }
 
 
 def install(name):
-    Router.listed = without_coldness
+    """Installs a mistake of MISTAKES; all of them ignore cold starts."""
+    Router.listed = listed_without_cold_starts
     MISTAKES[name]()
 
 
--- a/tests/test_admission_network.py
+++ b/tests/test_admission_network.py
@@ -1,4 +1,4 @@
-"""Admission on the network: a follower in memory, and desk, relay and routers as processes in a storm."""
+"""Admission on the network: a follower in memory, and desk, relay and routers as processes."""
 
 import json
 import time
@@ -17,7 +17,7 @@
     s = Following(tmp_path)
     s.desk.left = lambda: 1_234
     s.feed.pace()
-    s.feed.went_down(s.feed.stream, "closed")  # told nothing: by jitter
+    s.feed.went_down(s.feed.stream, "closed")  # without instructions from the desk: by jitter
     assert 0.02 <= s.net.seconds() + s.feed.pause <= 0.4 and isinstance(s.feed.pacing, Pacing)
     s.net.pump([0.05] * 10)
     way = next(way for way in reversed(s.net.ways) if not way.over and hasattr(way.factory, "stream"))
@@ -36,7 +36,7 @@
 
 
 def test_a_desk_killed_twice_within_one_storm_of_processes(tmp_path):
-    """Routers and followers come back each time; no purge that was acknowledged is lost or answered against."""
+    """Routers and followers reconnect each time; no acknowledged purge is lost or ignored in an answer."""
     assert site(tmp_path)["purges"]
     with Standing(Cache) as cache, PurgeRig(tmp_path) as purge_rig:
         desk = purge_rig.start_desk()
@@ -61,7 +61,7 @@
         purge_rig.wait_connected(history, 60, 60)
         purge_rig.start_purges(0.2)
         time.sleep(1)
-        for pause in (0.25, 0.0):  # the second time in the middle of the storm
+        for pause in (0.25, 0.0):  # the second time while followers are reconnecting
             purge_rig.kill(desk)
             began = time.time() * 1_000
             desk = purge_rig.start_desk()
@@ -69,7 +69,7 @@
             if pause:
                 purge_rig.link.reset()
         purge_rig.wait_connected(history, 60, 60, began)
-        for _ in range(200):  # the routers too, those behind the relay by it
+        for _ in range(200):  # the routers too; those of the relay count as one member, the relay
             rows = {row["name"]: row for row in purge_rig.status()["members"]}
             if sum(row["state"] == "live" for row in rows.values()) >= 64:
                 break
@@ -77,12 +77,12 @@
         assert {"depot", "n0", "n1", "n2", "f000"} <= set(rows)
         purge_rig.stop_purges()
         known = {number for number in purge_rig.acknowledged[-200:]}
-        for number in known:  # none lost, each stated
+        for number in known:  # none lost: the desk knows each
             status, facts = purge_rig.call("GET", f"/v1/purges/{number}")
             assert status == 200 and facts["number"] == number
         time.sleep(0.5)
         assert purge_rig.stale_answers(history) == []
-        with open(history, "a", encoding="utf-8") as file:  # and one that is seeded is found
+        with open(history, "a", encoding="utf-8") as file:  # a seeded violation is detected
             now = int(time.time() * 1_000)
             file.writelines(
                 json.dumps([at, "f999", may, 0, True]) + "\n"
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -1,4 +1,7 @@
-"""A dozen real routers beside caches that fall, and whether the rig finds what is wrong on purpose."""
+"""A crowd of real routers under faults breaks no rule, and each seeded mistake is detected.
+
+The stand-ins of the caches and of the relay between members are tested by themselves, too.
+"""
 
 import os
 import socket
@@ -14,9 +17,9 @@
 from standins.ports import free_port
 
 
-def waited(what, within=15.0):
+def wait_for(condition, within=15.0):
     end = time.monotonic() + within
-    while not (found := what()) and time.monotonic() < end:
+    while not (found := condition()) and time.monotonic() < end:
         time.sleep(0.1)
     return found
 
@@ -30,19 +33,19 @@
         crowd.caches.restart("c0")
         crowd.caches.drain("c1")
         crowd.links.cut_zone("z0")
-        assert waited(lambda: "member suspect" in crowd.processes.log("r11"))
+        assert wait_for(lambda: "member suspect" in crowd.processes.log("r11"))
         crowd.links.heal()
         crowd.caches.purge(key=objects.name(0))
         crowd.start(*crowd.routers[:7])
         assert crowd.ready()
         crowd.load.wait()
         verdict = crowd.verdict(slack=1.0)
-        counted = crowd.counters()
+        counters = crowd.counters()
         assert verdict.violations == [] and verdict.served > 0.8, verdict.summary()
-        assert len(counted) == 12 and all(row["errors_uncaught"] == 0 for row in counted.values())
+        assert len(counters) == 12 and all(row["errors_uncaught"] == 0 for row in counters.values())
         assert all("Traceback" not in crowd.processes.log(name) for name in crowd.members)
-        ran = sum(sum(slot["by"].values()) for row in crowd.caches.tables() for slot in row["slots"])
-        assert ran > verdict.outcomes["served"] / 2 and crowd.links.carried()["bytes"]["r11"] > 1_000
+        arrivals = sum(sum(slot["by"].values()) for row in crowd.caches.tables() for slot in row["slots"])
+        assert arrivals > verdict.outcomes["served"] / 2 and crowd.links.carried()["bytes"]["r11"] > 1_000
 
 
 def test_each_mistake_made_on_purpose_is_found(tmp_path):
@@ -67,19 +70,19 @@
             crowd.caches.purge(key=objects.name(rank))
         crowd.load.wait()
         verdict = crowd.verdict(slack=1.0)
-    of = {name: f"r{n}" for n, name in enumerate(names)}
-    assert {row[1] for row in verdict.lost} == {of["silent"]}
-    assert {name for _, name in verdict.answered_twice} == {of["twice"]}
-    assert {name for _, name in verdict.corrupt} == {of["spoilt"]}
-    assert {row[1] for row in verdict.stale} == {of["purges"]}
+    router_of = {name: f"r{n}" for n, name in enumerate(names)}
+    assert {row[1] for row in verdict.lost} == {router_of["silent"]}
+    assert {name for _, name in verdict.answered_twice} == {router_of["twice"]}
+    assert {name for _, name in verdict.corrupt} == {router_of["spoilt"]}
+    assert {row[1] for row in verdict.stale} == {router_of["purges"]}
     assert {who for _, who, *_ in verdict.after_drain} == {names.index("drains")}
     assert {int(key[:4], 16) for key, _ in verdict.repeated_effects} == {names.index("effects")}
     assert verdict.overloads and verdict.overloads[0]["cache"] == "c0"
     assert len(verdict.violations) == len(MISTAKES)
 
 
-def asked(port, *fields):
-    """(status, X-Result) of one lookup at a cache."""
+def lookup(port, *fields):
+    """Returns (status, X-Result) of one lookup at a cache."""
     head = "".join(f"{field}\r\n" for field in fields)
     with socket.create_connection(("127.0.0.1", port), 5) as connection:
         connection.sendall(
@@ -91,11 +94,11 @@
 
 def test_no_port_is_given_twice_and_none_that_the_system_gives_to_others():
     first = int(Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()[0])
-    given = [free_port() for _ in range(50)]
-    assert len(set(given)) == len(given) and max(given) < first
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:  # in use for datagrams alone
-        taken.bind(("127.0.0.1", given[-1] + 1))
-        assert free_port() != given[-1] + 1
+    ports = [free_port() for _ in range(50)]
+    assert len(set(ports)) == len(ports) and max(ports) < first
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as occupied:  # in use for UDP only
+        occupied.bind(("127.0.0.1", ports[-1] + 1))
+        assert free_port() != ports[-1] + 1
 
 
 def test_a_cache_keeps_copies_refuses_late_numbers_and_drops_what_is_purged(tmp_path):
@@ -103,14 +106,14 @@
         {
             "name": name,
             "zone": "z0",
-            "type": sort,
+            "type": cache_type,
             "group": 0,
             "weight": 8,
             "since_ms": 0,
             "room": 10_000,
             "port": free_port(),
         }
-        for name, sort in (("c0", "box"), ("o0", "origin"))
+        for name, cache_type in (("c0", "box"), ("o0", "origin"))
     ]
     world = Remote(
         "world",
@@ -119,23 +122,24 @@
     )
     try:
         port = rows[0]["port"]
-        assert asked(port) == (404, "")
-        assert asked(port, "X-Origin-Pick: o0") == (200, "filled") and asked(port) == (200, "hit")
+        assert lookup(port) == (404, "")
+        assert lookup(port, "X-Origin-Pick: o0") == (200, "filled") and lookup(port) == (200, "hit")
         assert (
-            asked(port, "X-Fence: warm/c0 7") == (200, "hit") and asked(port, "X-Fence: warm/c0 6")[0] == 409
+            lookup(port, "X-Fence: warm/c0 7") == (200, "hit")
+            and lookup(port, "X-Fence: warm/c0 6")[0] == 409
         )
-        assert asked(port, "X-Fence: warm/c1 6") == (200, "hit")
+        assert lookup(port, "X-Fence: warm/c1 6") == (200, "hit")
         world.call("purge", key=objects.name(1))
-        assert waited(lambda: asked(port)[0] == 404)
+        assert wait_for(lambda: lookup(port)[0] == 404)
         world.call("restart", name="c0", gone=0.0)
-        assert asked(port, "X-Origin-Pick: o0") == (200, "filled")
+        assert lookup(port, "X-Origin-Pick: o0") == (200, "filled")
         world.call("vanish", name="c0")
-        with socket.socket() as silent:
-            silent.settimeout(0.5)
+        with socket.socket() as client:
+            client.settimeout(0.5)
             with pytest.raises(TimeoutError):
-                silent.connect(("127.0.0.1", port))
+                client.connect(("127.0.0.1", port))
         world.call("heal", name="c0")
-        assert asked(port) == (200, "hit")
+        assert lookup(port) == (200, "hit")
     finally:
         world.end()
 
@@ -146,48 +150,50 @@
         for name, zone in (("a", "z0"), ("b", "z1"))
     }
     relay = Remote("relay", {"members": rows, "streams": [], "seed": 1}, tmp_path)
-    ends = {}
+    sockets = {}
     try:
         for name, row in rows.items():
-            ends[name] = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            ends[name].bind(("127.0.0.1", row["real"]))
-            ends[name].settimeout(0.2)
+            sockets[name] = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+            sockets[name].bind(("127.0.0.1", row["real"]))
+            sockets[name].settimeout(0.2)
 
-        def said(sender, to):
-            """How often what one says is heard by the other, in the time of a slow beat."""
-            ends[sender].sendto(b"x", ("127.0.0.1", rows[to]["shown"]))
+        def count_received(sender, receiver):
+            """Returns how many copies of one datagram the receiver gets within 0.2 s."""
+            sockets[sender].sendto(b"x", ("127.0.0.1", rows[receiver]["shown"]))
             count = 0
             try:
-                while ends[to].recvfrom(100)[1][1] == rows[sender]["shown"]:
+                while sockets[receiver].recvfrom(100)[1][1] == rows[sender]["shown"]:
                     count += 1
             except TimeoutError:
                 return count
 
-        assert said("a", "b") == said("b", "a") == 1
+        assert count_received("a", "b") == count_received("b", "a") == 1
         relay.call("cut_zone", zone="z0", both=False)
-        assert (said("a", "b"), said("b", "a")) == (0, 1)
+        assert (count_received("a", "b"), count_received("b", "a")) == (0, 1)
         relay.call("heal")
         relay.call("double", share=1.0)
-        assert said("a", "b") == 2
+        assert count_received("a", "b") == 2
         relay.call("hold", seconds=0.6)
-        assert said("a", "b") == 0 and waited(lambda: said("b", "a") or said("a", "b"))
+        assert count_received("a", "b") == 0 and wait_for(
+            lambda: count_received("b", "a") or count_received("a", "b")
+        )
         relay.call("lose", share=1.0)
-        assert waited(lambda: said("a", "b") == 0) and relay.call("carried")["dropped"] > 0
-        # A stream to a shown port is the process's that opened it.
+        assert wait_for(lambda: count_received("a", "b") == 0) and relay.call("carried")["dropped"] > 0
+        # A stream to an advertised port is attributed to the process that opened it.
         relay.call("pids", of={"a": os.getpid()})
         relay.call("heal")
         with socket.create_server(("127.0.0.1", rows["b"]["real"])) as server:
             with socket.create_connection(("127.0.0.1", rows["b"]["shown"]), 5) as opened:
-                came, _ = server.accept()
-                with came:
-                    came.settimeout(0.5)
+                accepted, _ = server.accept()
+                with accepted:
+                    accepted.settimeout(0.5)
                     opened.sendall(b"x")
-                    assert came.recv(1) == b"x"
+                    assert accepted.recv(1) == b"x"
                     relay.call("cut", a="a", b="b", both=False)
                     opened.sendall(b"y")
                     with pytest.raises(TimeoutError):
-                        came.recv(1)
+                        accepted.recv(1)
     finally:
         relay.end()
-        for end in ends.values():
-            end.close()
+        for sock in sockets.values():
+            sock.close()
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -1,4 +1,4 @@
-"""Hollow routers beside a real one and three keepers: seen, purged, counted, killed; wrong files are refused."""
+"""Hollow routers beside a real one and three keepers: membership, purges, counts, a kill, bad files."""
 
 import json
 import re
@@ -24,9 +24,9 @@
 KINDS = ("view", "purge_feed", "keeper_stream", "sharing")
 
 
-def waited(what, within=15.0):
+def wait_for(condition, within=15.0):
     end = time.monotonic() + within
-    while not (found := what()) and time.monotonic() < end:
+    while not (found := condition()) and time.monotonic() < end:
         time.sleep(0.1)
     return found
 
@@ -38,22 +38,22 @@
 
 
 def command(crowd, *words):
-    ran = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "hookrouter", *words, "--json", "--site", str(crowd.folder / "people.ini")],
         cwd=ROOT,
         capture_output=True,
         text=True,
         timeout=30,
     )
-    assert ran.returncode == 0, ran.stdout + ran.stderr
-    return json.loads(ran.stdout.splitlines()[-1])
+    assert completed.returncode == 0, completed.stdout + completed.stderr
+    return json.loads(completed.stdout.splitlines()[-1])
 
 
-def submitted(crowd, tag):
-    """Its number, (epoch, n), once it is in effect at every member."""
-    told = command(crowd, "purges", "submit", "--tag", tag, "--wait")
-    assert told["in_effect_ms"]
-    return tuple(map(int, told["numbers"][0].split(".")))
+def submit_and_wait(crowd, tag):
+    """Submits a purge; returns its number, (epoch, n), once it is in effect at every member."""
+    result = command(crowd, "purges", "submit", "--tag", tag, "--wait")
+    assert result["in_effect_ms"]
+    return tuple(map(int, result["numbers"][0].split(".")))
 
 
 # ---- processes
@@ -63,7 +63,8 @@
 def crowd(tmp_path):
     sections = {
         "fleet": {},
-        "sharing": {"pull within": "0 s"},  # no lists over streams: sharing is datagrams, told apart outside
+        # No lists over streams: sharing then uses datagrams only, so that its bytes can be checked.
+        "sharing": {"pull within": "0 s"},
         "purges": {"lease": "1 s", "skew": "1 ms"},
     }
     real = ("standins.hollow.counted", str(tmp_path / "r0.reports"), str(EVERY))
@@ -82,33 +83,35 @@
 
 def test_all_are_seen_purged_and_counted_and_a_kill_is_noticed(crowd):
     with HollowProcess(crowd.layout.configure_hollow("hollow", crowd.layout.hollow, 7, EVERY)) as hollow:
-        of = len(crowd.members)
-        assert waited(lambda: all(row.members_alive == of for row in hollow.next_report().routers))
-        assert waited(lambda: f"view has settled: members={of}" in crowd.processes.log("r0"))
+        member_count = len(crowd.members)
+        assert wait_for(
+            lambda: all(row.members_alive == member_count for row in hollow.next_report().routers)
+        )
+        assert wait_for(lambda: f"view has settled: members={member_count}" in crowd.processes.log("r0"))
         assert [row.name for row in hollow.reports()[-1].routers] == crowd.layout.hollow
 
-        newest = submitted(crowd, "sheet")
+        newest = submit_and_wait(crowd, "sheet")
         report = hollow.next_report()
         assert {(row.newest_purge.epoch, row.newest_purge.n) for row in report.routers} == {newest}
         assert {row.lease for row in report.routers} == {"current"}
         assert {row.purges_received for row in report.routers} == {1}
 
-        counted_from_outside(crowd, hollow)
-        counts_grow(hollow.reports())
-        counts_grow(read_reports(crowd.folder / "r0.reports"))
+        check_relay_counts(crowd, hollow)
+        check_counts_grow(hollow.reports())
+        check_counts_grow(read_reports(crowd.folder / "r0.reports"))
 
         so_far = len(crowd.processes.log("r0"))
         hollow.kill()
-        # One line each for a few that are suspected at once, one for many.
-        assert waited(lambda: NOTICED.search(crowd.processes.log("r0")[so_far:]))
+        # The log has a line for each of a few members suspected at once, one line for many.
+        assert wait_for(lambda: NOTICED.search(crowd.processes.log("r0")[so_far:]))
         began = time.monotonic()
-        again = submitted(crowd, "sheet-two")  # the dead are waited for no longer than a lease
+        again = submit_and_wait(crowd, "sheet-two")  # killed members delay a purge no longer than their lease
         assert again > newest and time.monotonic() - began < 6
     assert "Traceback" not in hollow.log() + "".join(map(crowd.processes.log, crowd.members))
 
 
-def counted_from_outside(crowd, hollow):
-    """What the relay between all members has carried lies between two reports, before and after."""
+def check_relay_counts(crowd, hollow):
+    """Checks that the relay's counts lie between the counts reported before and after."""
     real = crowd.folder / "r0.reports"
 
     def sent():
@@ -116,29 +119,32 @@
         return {row.name: row.traffic for row in rows}
 
     before = sent()
-    time.sleep(0.1)  # for what is on its way
+    time.sleep(0.1)  # for datagrams in flight
     carried = crowd.links.carried()
     time.sleep(2 * EVERY)
     after = sent()
     assert len(before) == HOLLOW + 1
     for name in before:
-        least, most = (told[name].view.out.bytes + told[name].sharing.out.bytes for told in (before, after))
+        least, most = (
+            traffic[name].view.out.bytes + traffic[name].sharing.out.bytes for traffic in (before, after)
+        )
         assert least <= carried["bytes"][name] <= most
         least, most = (
-            told[name].view.out.messages + told[name].sharing.out.messages for told in (before, after)
+            traffic[name].view.out.messages + traffic[name].sharing.out.messages
+            for traffic in (before, after)
         )
         assert least <= carried["packets"][name] <= most
-        least, most = (told[name].keeper_stream.out.bytes for told in (before, after))
+        least, most = (traffic[name].keeper_stream.out.bytes for traffic in (before, after))
         assert least <= carried["streamed"][name] <= most
 
 
-def counts_grow(reports):
-    """Each count only grows, all are above 0 in the end, and the process's are the sum of its routers'."""
+def check_counts_grow(reports):
+    """Checks that counts never decrease, end above 0, and that the process's are the sum of its routers'."""
     assert len(reports) > 3
     for before, after in zip(reports, reports[1:]):
         assert after.time > before.time and after.cpu_user_s >= before.cpu_user_s
-        for was, now in zip((before, *before.routers), (after, *after.routers)):
-            for key, flow in flows(was.traffic).items():
+        for earlier, now in zip((before, *before.routers), (after, *after.routers)):
+            for key, flow in flows(earlier.traffic).items():
                 later = flows(now.traffic)[key]
                 assert later.messages >= flow.messages and later.bytes >= flow.bytes
     last = reports[-1]
@@ -167,7 +173,7 @@
 
 
 def layout(folder, sections=None):
-    """Two hollow routers without the rest of their fleet."""
+    """Returns the layout of two hollow routers without the rest of their fleet."""
     made = Layout(folder, 0, 1, 1, 1, sections or {"fleet": {}}, None, 3, hollow=2, direct=True)
     made.write()
     return made
@@ -191,7 +197,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    "text, expected",
     [
         ("{", "truncated"),
         ('{"seed": 1}', "`routers`"),
@@ -205,12 +211,12 @@
         ),
     ],
 )
-def test_a_configuration_that_cannot_be_used_is_refused_by_its_key(tmp_path, text, said):
+def test_a_configuration_that_cannot_be_used_is_refused_by_its_key(tmp_path, text, expected):
     path = tmp_path / "wrong.json"
     path.write_text(text)
-    with pytest.raises(ConfigurationRefused) as wrong:
+    with pytest.raises(ConfigurationRefused) as error:
         read_configuration(path)
-    assert said in wrong.value.user_message() and "correct what is named" in wrong.value.user_message()
+    assert expected in error.value.user_message() and "correct what is named" in error.value.user_message()
 
 
 def test_an_operators_file_by_which_no_hollow_router_can_run_is_refused(tmp_path):
@@ -218,7 +224,7 @@
     path = tmp_path / "h0.ini"
     good = path.read_text()
     warming = "\n[sharing]\n\n[warming]\n"
-    for text, said in [
+    for text, expected in [
         ("", "[fleet] is missing"),
         (good.replace("name = h0", "name = h9"), "[fleet] name is h9, not h0"),
         (good.replace("name = h0", "name = k0") + "store = k0.db\n", "[fleet] name is k0, not h0"),
@@ -226,29 +232,31 @@
         (good.replace("zone = z0", "zone = z 0"), "[fleet] zone: "),
     ]:
         path.write_text(text)
-        with pytest.raises(ConfigurationRefused) as wrong:
+        with pytest.raises(ConfigurationRefused) as error:
             read_sections(place)
         assert (
-            said in wrong.value.user_message() and "nothing was started" in wrong.value.user_message()
-        ), wrong.value.user_message()
+            expected in error.value.user_message() and "nothing was started" in error.value.user_message()
+        ), error.value.user_message()
     path.unlink()
     with pytest.raises(ConfigurationRefused, match="h0.ini"):
         read_sections(place)
 
 
 def test_the_command_says_what_to_do_and_ends(tmp_path):
-    for words, said in [
+    for words, expected in [
         ([], "usage: python -m standins.hollow CONFIG.json"),
         ([str(tmp_path / "none.json")], "No such file or directory; do: correct what is named"),
     ]:
-        ran = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", "standins.hollow", *words],
             cwd=ROOT,
             capture_output=True,
             text=True,
             timeout=30,
         )
-        assert ran.returncode == 2 and said in ran.stderr and "Traceback" not in ran.stderr
+        assert (
+            completed.returncode == 2 and expected in completed.stderr and "Traceback" not in completed.stderr
+        )
 
 
 # ---- parts
@@ -272,13 +280,13 @@
 
 
 def test_made_up_loads_follow_from_the_seed_and_stay_in_their_bounds():
-    def told(seed):
+    def loads_and_state(seed):
         state = SyntheticState(seed, ["c1", "c0"])
         return [state.loads(now) for now in range(50)], state.learnt()
 
-    assert told("1/h0") == told("1/h0") != told("1/h1")
-    rows = [row for loads in told("1/h0")[0] for row in loads]
+    assert loads_and_state("1/h0") == loads_and_state("1/h0") != loads_and_state("1/h1")
+    rows = [row for loads in loads_and_state("1/h0")[0] for row in loads]
     assert [row.cache for row in rows[:2]] == ["c0", "c1"]
     assert all(0 <= row.out <= 4 and 0 <= row.rate <= 20 for row in rows)
     state = SyntheticState("1/h0", ["c0"])
-    assert state.adopt([told("1/h1")[1]]) == 4
+    assert state.adopt([loads_and_state("1/h1")[1]]) == 4
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""The scale run: slopes and data file by themselves, and the whole of it with some dozens of routers."""
+"""The scale benchmark: slopes, data file and judgement as units, and a run with some dozens of routers."""
 
 import math
 import os
@@ -69,8 +69,8 @@
 
 
 def test_the_largest_size_is_predicted_from_the_smaller_ones_alone():
-    told = [*points(lambda n: 2.0 * n, SIZES[:3]), Point(320, 800.0)]
-    found = predict_largest(told)
+    all_points = [*points(lambda n: 2.0 * n, SIZES[:3]), Point(320, 800.0)]
+    found = predict_largest(all_points)
     assert found.routers == 320 and found.measured == 800
     assert found.predicted == pytest.approx(640)
     assert found.error == pytest.approx(0.2)
@@ -129,7 +129,7 @@
         r.read(tmp_path / "scale.json")
 
 
-# ---- what is judged
+# ---- judgement
 
 
 def purge(number, in_effect=None, name="a", made_ms=0.0, submitted=0.0):
@@ -157,7 +157,7 @@
     kept = [Seen(15.0, "h1", 1, "current"), Seen(25.0, "h1", 2, "current"), Seen(25.0, "h2", 0, "fenced")]
     assert said_too_early(purges, kept) == []
     assert len(said_too_early(purges, [Seen(20.1, "h1", 1, "current")])) == 1
-    assert said_too_early(purges, [Seen(20.0, "h1", 1, "current")]) == []  # not yet said then
+    assert said_too_early(purges, [Seen(20.0, "h1", 1, "current")]) == []  # not yet reported at that time
 
 
 def test_a_later_purge_that_is_in_effect_first_binds_the_earlier_position_too():
@@ -211,7 +211,7 @@
     assert list(tmp_path.iterdir()) == []
 
 
-# ---- what the system counts
+# ---- counters of the kernel
 
 
 def test_connections_are_counted_by_the_system():
@@ -227,7 +227,7 @@
     assert found[ports[0]].peer_port == ports[1] and found[ports[1]].received.messages >= 1
 
 
-# ---- the whole of it, small
+# ---- a whole run, small
 
 
 def test_some_dozens_of_hollow_routers_and_three_real_ones_keep_every_rule(tmp_path):
@@ -243,7 +243,7 @@
         budget=math.inf,
         purges_per_s=8.0,
         lookups_per_s=20.0,
-        judge_starved=False,  # who else works on the machine says nothing of the rules
+        judge_starved=False,  # other load on the machine says nothing about the rules
     )
     session, verdict = play(tmp_path, settings, lambda text: None, scenes=(region_cut, group_killed))
     assert verdict == Verdict([], [], [], []) and session.crowd_breaks == [] and session.unfenced == 0
@@ -251,12 +251,12 @@
     assert session.back["region"] is not None and session.back["kill"] is not None
     assert all(process.poll() is not None for process in session.crowd.processes.by_name.values())
     assert not any(group.alive() for group in session.crowd.hollow.groups)
-    told = results_of(session)
-    assert r.decode(r.encode(told)) == told
-    quantities = {(row.role, row.quantity) for row in told.slopes}
+    results = results_of(session)
+    assert r.decode(r.encode(results)) == results
+    quantities = {(row.role, row.quantity) for row in results.slopes}
     for role in ("router", "relay", "keeper_leader", "keeper_follower", "desk"):
         assert {(role, quantity) for quantity in ("bytes_per_s", "messages_per_s")} <= quantities
-    sent = {row.kind: row.value for row in told.runs[-1].measurements if row.role == "router"}
+    sent = {row.kind: row.value for row in results.runs[-1].measurements if row.role == "router"}
     assert all(sent[kind] > 0 for kind in ("view", "purge_feed", "keeper_stream", "sharing"))
 
 
--- a/tests/test_warming_crowd.py
+++ b/tests/test_warming_crowd.py
@@ -1,4 +1,7 @@
-"""Real routers: a cache is replaced, the owner of its warming stopped in its midst; another goes on under a new number."""
+"""Warming with real routers: its owner is stopped while it warms a replaced cache.
+
+Another owner continues under a higher fencing number, and the cache refuses late fills of the first.
+"""
 
 import http.client
 import re
@@ -10,18 +13,18 @@
 OVER = re.compile(r"warming is over: cache=(\S+) state=(\S+) why=(.*) number=(\d+)")
 
 
-def wait(what, seconds):
+def wait(condition, seconds):
     until = time.monotonic() + seconds
     while time.monotonic() < until:
-        found = what()
+        found = condition()
         if found:
             return found
         time.sleep(0.02)
     raise AssertionError(f"did not come within {seconds} s")
 
 
-def gained(crowd, names):
-    """[(router, number)] of all warnings' duties gained, in order of their numbers."""
+def gained_duties(crowd, names):
+    """Returns [(router, number)] of all warming duties gained, in order of their numbers."""
     return sorted(
         ((name, int(number)) for name in names for _, number in GAINED.findall(crowd.processes.log(name))),
         key=lambda row: row[1],
@@ -35,17 +38,17 @@
         crowd.load.start(16, 120, names=600, alpha=1.0)
         time.sleep(5)
         new, names = crowd.caches.replace("c0"), [f"r{n}" for n in range(4)]
-        first, old = wait(lambda: gained(crowd, names), 10)[0]
+        first, first_number = wait(lambda: gained_duties(crowd, names), 10)[0]
         time.sleep(0.4)
         crowd.stop(first)
         crowd.caches.purge(group=7)
-        second, number = wait(lambda: gained(crowd, names)[1:], 15)[0]
+        second, second_number = wait(lambda: gained_duties(crowd, names)[1:], 15)[0]
         wait(lambda: OVER.search(crowd.processes.log(second)), 20)
         crowd.cont(first)
         wait(lambda: "lease over" in crowd.processes.log(first) or OVER.search(crowd.processes.log(first)), 5)
         crowd.load.wait()
-        assert number > old and second != first
-        # What a process that was stopped between its look at the clock and its bytes would send.
+        assert second_number > first_number and second != first
+        # The fill of a process that was stopped between its check of the lease and its write.
         port = re.search(rf"'{re.escape(new)}'.*?127\.0\.0\.1:(\d+)", str(crowd.caches.known()))[1]
         late = http.client.HTTPConnection("127.0.0.1", int(port), timeout=2)
         late.request(
@@ -55,7 +58,7 @@
                 "X-Trace": "0000ffffffff0001",
                 "X-Patience": "1000",
                 "X-Origin-Pick": "p0",
-                "X-Fence": f"warm.z0/{new} {old}",
+                "X-Fence": f"warm.z0/{new} {first_number}",
             },
         )
         assert late.getresponse().status == 409
