--- a/standins/crowd/client_connection.py
+++ b/standins/crowd/client_connection.py
@@ -101,8 +101,8 @@
         try:
             for frame in self.frames.feed(data):
                 self._handle_message(thrift.Message(frame))
-        except thrift.Malformed as wrong:
-            self.clients.corrupt.append((str(wrong), self.router.name))
+        except thrift.Malformed as error:
+            self.clients.corrupt.append((str(error), self.router.name))
             self.transport.abort()
 
     def _handle_message(self, message):
--- a/standins/crowd/crowd.py
+++ b/standins/crowd/crowd.py
@@ -70,7 +70,7 @@
             raise
         return self
 
-    def __exit__(self, *wrong):
+    def __exit__(self, *exception):
         self.end()
 
     def _begin(self):
--- a/standins/crowd/feed.py
+++ b/standins/crowd/feed.py
@@ -11,12 +11,12 @@
 class Feed:
     """Publishes events; ports: {router: port}, caches: the first members.
 
-    told_ms: Unix ms at which each event was published, whether or not routers have read it.
+    published_ms: Unix ms at which each event was published, whether or not routers have read it.
     """
 
     def __init__(self, ports, caches):
         self.ports, self.members = ports, {row["name"]: row for row in caches}
-        self.events, self.told_ms, self.delay = [], [], {}  # delay: seconds, by router
+        self.events, self.published_ms, self.delay = [], [], {}  # delay: seconds, by router
         self.followers, self.servers, self.stopped = {}, {}, False
 
     async def start(self):
@@ -30,29 +30,29 @@
     def publish(self, event):
         """Publishes an event; returns the Unix ms at which the last router is to receive it."""
         self.events.append({"n": len(self.events) + 1, **event})
-        self.told_ms.append(time.time() * 1_000)
+        self.published_ms.append(time.time() * 1_000)
         for writers in self.followers.values():
             for wake in writers:
                 wake.set()
-        return self.told_ms[-1] + min(MAX_DELAY_MS, 1_000 * max(self.delay.values(), default=0.0))
+        return self.published_ms[-1] + min(MAX_DELAY_MS, 1_000 * max(self.delay.values(), default=0.0))
 
     def update_members(self, *rows):
         """Publishes changed member rows; returns as publish() does."""
         for row in rows:
             self.members[row["name"]] = row
-        told_ms = self.publish(
+        published_ms = self.publish(
             {"members": {"index": len(self.events) + 1, "snapshot": False, "endpoints": list(rows)}}
         )
         self.members = {name: row for name, row in self.members.items() if row["status"] != "left"}
-        return told_ms
+        return published_ms
 
     def snapshot(self):
         """Returns the recent purges and the whole member list, as in a router's configuration."""
         oldest_ms = time.time() * 1_000 - PURGE_RETENTION_MS
         purges = [
             event
-            for event, told_ms in zip(self.events, self.told_ms)
-            if "purge" in event and told_ms > oldest_ms
+            for event, published_ms in zip(self.events, self.published_ms)
+            if "purge" in event and published_ms > oldest_ms
         ]
         newest = len(self.events)
         return {
@@ -79,7 +79,7 @@
                 wait_seconds = 1.0
                 while last_number < len(self.events):
                     wait_seconds = (
-                        self.told_ms[last_number] / 1_000 + self.delay.get(router, 0.0) - time.time()
+                        self.published_ms[last_number] / 1_000 + self.delay.get(router, 0.0) - time.time()
                     )
                     if wait_seconds > 0:
                         break
--- a/standins/crowd/hollow_routers.py
+++ b/standins/crowd/hollow_routers.py
@@ -10,7 +10,7 @@
 
 from .regions import RegionLayout
 
-REPORT_EVERY = 0.5  # seconds
+REPORT_INTERVAL = 0.5  # seconds
 MAX_REPORTS = 80  # full reports kept for each process; of older ones only the states are kept
 
 
@@ -104,7 +104,7 @@
 
     def _group(self, names: list[str]) -> HollowGroup:
         name, seed = f"hollow-{names[0]}", self.seed + int(names[0][1:])
-        path = Path(self.layout.configure_hollow(name, names, seed, REPORT_EVERY))
+        path = Path(self.layout.configure_hollow(name, names, seed, REPORT_INTERVAL))
         return HollowGroup(names, path)
 
     def read(self) -> None:
--- a/standins/crowd/remote.py
+++ b/standins/crowd/remote.py
@@ -29,8 +29,8 @@
                 result = getattr(target, request["do"])(**request["with"])
                 result = await result if asyncio.iscoroutine(result) else result
                 answer = {"told": result}
-            except Exception as wrong:  # reported to the caller; the stand-in goes on
-                answer = {"wrong": f"{type(wrong).__name__}: {wrong}"}
+            except Exception as error:  # reported to the caller; the stand-in goes on
+                answer = {"wrong": f"{type(error).__name__}: {error}"}
             writer.write(json.dumps(answer).encode() + b"\n")
         writer.close()
 
--- a/standins/crowd/verdict.py
+++ b/standins/crowd/verdict.py
@@ -12,11 +12,11 @@
 class Verdict:
     """Checks the rules when it is created; violations: [text], empty if all rules hold.
 
-    table: of the clients; caches: their tables; told: events and purges of the feed; events: [(Unix s, event,
-    process)] of processes that were started or signalled; slack: seconds of tolerance.
+    table: of the clients; caches: their tables; announced: events and purges of the feed; events: [(Unix s,
+    event, process)] of processes that were started or signalled; slack: seconds of tolerance.
     """
 
-    def __init__(self, table, caches, told, events, slack=SLACK):
+    def __init__(self, table, caches, announced, events, slack=SLACK):
         self.lookups, self.caches, self.slack = table["lookups"], caches, 1_000 * slack
         self.router_faults = [(fault_s, name) for fault_s, event, name in events if event in ("kill", "stop")]
         self.outcomes = {}
@@ -27,7 +27,7 @@
         self.served = self.outcomes.get("served", 0) / sent if sent else 0.0
         self.lost = [row for row in self.lookups if row[3] == "lost" and not self._router_had_fault(row)]
         self.answered_twice, self.corrupt = table["twice"], table["bad"]
-        self.stale = [row for row in self.lookups if row[5] and self._stale(row, told["purged"])]
+        self.stale = [row for row in self.lookups if row[5] and self._stale(row, announced["purged"])]
         self.overloads = [overload for row in caches for overload in row["falls"]]
         self.after_drain = [
             late_use
@@ -66,9 +66,9 @@
             return True
         return any(
             created_ms < purge_ms
-            and sent_s * 1_000 > told_ms + PURGE_MS + self.slack
+            and sent_s * 1_000 > announced_ms + PURGE_MS + self.slack
             and (key == object_ if key else group == objects.group(object_))
-            for told_ms, purge_ms, key, group in purged
+            for announced_ms, purge_ms, key, group in purged
         )
 
     def _find_repeated_effects(self):
--- a/standins/crowd/world.py
+++ b/standins/crowd/world.py
@@ -29,7 +29,7 @@
     def __init__(self, spec):
         self.spec, self.caches, self.servers, self.events = spec, {}, {}, []
         self.feed = Feed(spec["doors"], [self._feed_row(row) for row in spec["caches"]])
-        self.purged = []  # (told ms, purge ms, key, group)
+        self.purged = []  # (published ms, purge ms, key, group)
 
     @staticmethod
     def _feed_row(row, **changes):
@@ -58,8 +58,8 @@
             server.close_idle()
         loop.call_later(SWEEP_INTERVAL, self._close_idle, loop)
 
-    def _record_event(self, what, name):
-        self.events.append({"at": round(unix_ms()), "what": what, "cache": name})
+    def _record_event(self, event, name):
+        self.events.append({"at": round(unix_ms()), "what": event, "cache": name})
 
     # ---- commands: faults
 
@@ -138,10 +138,10 @@
     def purge(self, key=None, group=None):
         """Announces a purge of an object or a group; caches receive it within PURGE_DELAYS_MS."""
         purge_ms = round(unix_ms())
-        told_ms = self.feed.publish(
+        published_ms = self.feed.publish(
             {"purge": {"at": purge_ms, **({"key": key} if key else {"group": group})}}
         )
-        self.purged.append((round(told_ms), purge_ms, key, group))
+        self.purged.append((round(published_ms), purge_ms, key, group))
         loop, first, last = asyncio.get_running_loop(), *PURGE_DELAYS_MS
         for index, cache in enumerate(self.caches.values()):
             loop.call_later(
--- a/standins/followers.py
+++ b/standins/followers.py
@@ -89,9 +89,7 @@
         """Records the loss of the connection; a share of followers loses its position."""
         if self.connected:
             self.connected = False
-            if (
-                self.rng.random() < self.forget_share
-            ):  # like a router that was replaced: only the epoch is kept
+            if self.rng.random() < self.forget_share:  # like a replaced router, which keeps only the epoch
                 seen, self.place = self.place.seen, Place()
                 self.place.seen = seen
                 self.fence = Fence(self.fence.lease)
--- a/standins/hollow/__main__.py
+++ b/standins/hollow/__main__.py
@@ -85,8 +85,8 @@
             return
         try:
             router.start()
-        except CannotListenError as wrong:
-            self.failure = ListenRefused(f"{router.name} cannot listen: {wrong}")
+        except CannotListenError as error:
+            self.failure = ListenRefused(f"{router.name} cannot listen: {error}")
             self.stop()
 
     def stop(self) -> None:
@@ -123,15 +123,15 @@
         raise host.failure
 
 
-def main(words: list[str]) -> int:
+def main(arguments: list[str]) -> int:
     """Runs the command; returns the exit code."""
-    if len(words) != 1:
+    if len(arguments) != 1:
         print("usage: python -m standins.hollow CONFIG.json", file=sys.stderr)
         return 2
     try:
-        run(words[0])
-    except HookrouterError as wrong:
-        return ended_by(wrong)
+        run(arguments[0])
+    except HookrouterError as error:
+        return ended_by(error)
     return DONE
 
 
--- a/standins/hollow/configuration.py
+++ b/standins/hollow/configuration.py
@@ -43,10 +43,10 @@
     """Reads and checks the file; ConfigurationRefused names what is wrong."""
     try:
         configuration = msgspec.json.decode(Path(path).read_bytes(), type=Configuration)
-    except OSError as wrong:
-        raise ConfigurationRefused(f"{path}: {wrong.strerror}") from None
-    except msgspec.MsgspecError as wrong:
-        raise ConfigurationRefused(f"{path}: {wrong}") from None
+    except OSError as error:
+        raise ConfigurationRefused(f"{path}: {error.strerror}") from None
+    except msgspec.MsgspecError as error:
+        raise ConfigurationRefused(f"{path}: {error}") from None
     if not configuration.routers:
         raise ConfigurationRefused(f"{path}: routers: at least one is required")
     if configuration.report_every_s <= 0:
@@ -64,8 +64,8 @@
     """Reads the operator's file of a hollow router; ConfigurationRefused if it cannot run with it."""
     try:
         sections = read_site(router.site)
-    except InvalidSiteFile as wrong:
-        raise ConfigurationRefused(f"router {router.name}: {'; '.join(wrong.lines)}") from None
+    except InvalidSiteFile as error:
+        raise ConfigurationRefused(f"router {router.name}: {'; '.join(error.lines)}") from None
     where = f"router {router.name}: {router.site}"
     if "fleet" not in sections:
         raise ConfigurationRefused(f"{where}: [fleet] is missing; a hollow router is a member of a fleet")
--- a/standins/hollow/counted.py
+++ b/standins/hollow/counted.py
@@ -26,26 +26,26 @@
 from .sockets import SocketCounter  # noqa: E402
 
 
-def count_real_router(reactor: Any, reports: str, every: float, site: str) -> None:
+def count_real_router(reactor: Any, reports: str, interval: float, site: str) -> None:
     """Appends reports to the file reports from the reactor's start on. site: the operator's file."""
     fleet, traffic = read(site)["fleet"], Traffic()
     SocketCounter(reactor, traffic, fleet["keepers"])
     out = open(reports, "a", encoding="utf-8")  # noqa: SIM115  open until the process ends
-    reporter = Reporter(reactor, every, lambda: [RouterReport(fleet["name"], traffic)], out)
+    reporter = Reporter(reactor, interval, lambda: [RouterReport(fleet["name"], traffic)], out)
     reactor.callWhenRunning(reporter.start)
     reactor.addSystemEventTrigger("before", "shutdown", reporter.write)
 
 
-def main(words: list[str]) -> int:
+def main(arguments: list[str]) -> int:
     """Runs the command; returns its exit code."""
-    if len(words) < 5 or "--site" not in words[:-1]:
+    if len(arguments) < 5 or "--site" not in arguments[:-1]:
         print("usage: python -m standins.hollow.counted REPORTS EVERY_S serve --site FILE", file=sys.stderr)
         return 2
-    reports, every, *command = words
+    reports, interval, *command = arguments
     try:
-        count_real_router(reactor, reports, float(every), command[command.index("--site") + 1])
-    except HookrouterError as wrong:
-        return ended_by(wrong)
+        count_real_router(reactor, reports, float(interval), command[command.index("--site") + 1])
+    except HookrouterError as error:
+        return ended_by(error)
     return run(command, signals)
 
 
--- a/standins/hollow/process.py
+++ b/standins/hollow/process.py
@@ -97,7 +97,7 @@
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, wrong: BaseException | None, trace: TracebackType | None
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
         """Ends the process, also after an error."""
         self.end()
--- a/standins/hollow/reporter.py
+++ b/standins/hollow/reporter.py
@@ -39,19 +39,19 @@
     """Writes the reports of one process to one file."""
 
     def __init__(
-        self, reactor: Any, every: float, routers: Callable[[], list[RouterReport]], out: TextIO
+        self, reactor: Any, interval: float, routers: Callable[[], list[RouterReport]], out: TextIO
     ) -> None:
-        """every: seconds; routers(): the current reports, one for each router."""
-        self.reactor, self.every, self.routers, self.out = reactor, every, routers, out
+        """interval: seconds; routers(): the current reports, one for each router."""
+        self.reactor, self.interval, self.routers, self.out = reactor, interval, routers, out
         self.lag = LagMeter(reactor)
 
     def start(self) -> None:
         """Starts; the first report is written after one interval."""
         self.lag.start()
-        self.reactor.callLater(self.every, self._write_periodically)
+        self.reactor.callLater(self.interval, self._write_periodically)
 
     def _write_periodically(self) -> None:
-        self.reactor.callLater(self.every, self._write_periodically)
+        self.reactor.callLater(self.interval, self._write_periodically)
         self.write()
 
     def write(self) -> None:
@@ -64,12 +64,12 @@
 
     def report(self) -> Report:
         """Returns the current report."""
-        routers, worked = self.routers(), os.times()
+        routers, times = self.routers(), os.times()
         return Report(
             time=time.time(),
             reactor_lag_s=round(self.lag.take(), 6),
-            cpu_user_s=worked.user,
-            cpu_system_s=worked.system,
+            cpu_user_s=times.user,
+            cpu_system_s=times.system,
             resident_bytes=resident_bytes(),
             traffic=summed(routers),
             routers=routers,
--- a/standins/hollow/synthetic_state.py
+++ b/standins/hollow/synthetic_state.py
@@ -71,8 +71,8 @@
             caches, [KindTimes(kind, ANSWER_TIME, ANSWER_TIME / 4, 0) for kind in KINDS]
         )
 
-    def adopt(self, told: list[soft_state.SoftState]) -> int:
+    def adopt(self, borrowed: list[soft_state.SoftState]) -> int:
         """Merges borrowed states as a router does, drops the result and returns its number of rows."""
-        merged = soft_state.adopted(told)
+        merged = soft_state.adopted(borrowed)
         self.adopted = len(merged.failures) + len(merged.kind_times)
         return self.adopted
--- a/standins/rig.py
+++ b/standins/rig.py
@@ -56,10 +56,8 @@
             (self.folder / "purges-secret").write_text("another secret for this rig")
             (self.folder / "purges-secret").chmod(0o600)
         self.fault_injected = set()  # names that run under standins.fault_injection
-        self.processes, self.configs = (
-            {},
-            {},
-        )  # configs: name -> EDGE_CONFIG of a process that serves lookups, too
+        # configs: name -> EDGE_CONFIG of a process that serves lookups, too
+        self.processes, self.configs = {}, {}
         self.register_process = subprocess.Popen(
             [sys.executable, "-m", "standins.register", str(self.register_port), str(self.audit)], cwd=ROOT
         )
@@ -108,7 +106,7 @@
             arguments = ["serve"] if name in self.configs else ["fleet", "serve"]
             program = ["hookrouter"]
             if name in self.fault_injected:
-                program = ["standins.fault_injection", str(self.folder / f"{name}.shim")]
+                program = ["standins.fault_injection", str(self.folder / f"{name}.faults")]
             environment = {"EDGE_CONFIG": str(self.configs[name])} if name in self.configs else {}
             self.processes[name] = subprocess.Popen(
                 [sys.executable, "-m", *program, *arguments, "--site", str(self.folder / f"{name}.ini")],
@@ -190,7 +188,7 @@
         """
         self.fault_injected.add(name)
         (self.folder / f"{name}.new").write_text(json.dumps(faults))
-        os.replace(self.folder / f"{name}.new", self.folder / f"{name}.shim")
+        os.replace(self.folder / f"{name}.new", self.folder / f"{name}.faults")
 
     def kill(self, name):
         """Sends SIGKILL and waits for the end."""
