--- a/tests/test_keepers_sealed.py
+++ b/tests/test_keepers_sealed.py
@@ -47,20 +47,20 @@
     body = json.dumps({"key": f"many-{first}", "purges": rows})
 
     def attempt():
-        for port in rig.desks.values():
+        for port in rig.desk_ports.values():
             status, answer = call(port, "POST", "/v1/purges", body)
             if status == 200:
                 return [int(row["number"].split(".")[1]) for row in answer["purges"]]
         return None
 
     numbers = rig.wait(attempt, 30)
-    assert numbers, rig.ended()
+    assert numbers, rig.exited_processes()
     return numbers
 
 
 def desk_status(rig):
     """The status answered by the owner of the desk, or None."""
-    found = [answer for port in rig.desks.values() for _, answer in [call(port, "GET", "/v1/status")]]
+    found = [answer for port in rig.desk_ports.values() for _, answer in [call(port, "GET", "/v1/status")]]
     return next((answer for answer in found if answer and answer.get("role") == "desk"), None)
 
 
