--- a/benchmarks/purges/effect.py
+++ b/benchmarks/purges/effect.py
@@ -12,7 +12,7 @@
 from twisted.internet.protocol import Factory, Protocol
 from twisted.internet.task import deferLater
 
-from hookrouter.feed.caller import Caller
+from hookrouter.feed.http_client import HttpClient
 from hookrouter.feed.purges import PurgeFeed
 from hookrouter.purges import wire
 from hookrouter.site import read
@@ -29,20 +29,20 @@
     def __init__(self, count):
         self.count = count
 
-    def heard(self, epoch):
+    def on_epoch(self, epoch):
         pass
 
-    def purged(self, purges):
+    def on_purges(self, purges):
         for purge in purges:
             self.count.applied(purge.what)
 
-    def whole(self, purges, newest):
+    def on_snapshot(self, purges, newest):
         pass
 
-    def granted(self, *args):
+    def on_grant(self, *args):
         pass
 
-    def place(self, n):
+    def acknowledged(self, n):
         return n, n
 
 
@@ -123,7 +123,7 @@
     ]
     for feed in feeds:
         feed.start()
-    caller = Caller(reactor, deadlines, ("127.0.0.1", desk.port))
+    caller = HttpClient(reactor, deadlines, ("127.0.0.1", desk.port))
     yield deferLater(reactor, 1.5, lambda: None)
 
     def submit(n):
@@ -155,7 +155,7 @@
     ]
     for feed in feeds:
         feed.start()
-    caller = Caller(reactor, deadlines, ("127.0.0.1", port))
+    caller = HttpClient(reactor, deadlines, ("127.0.0.1", port))
     yield deferLater(reactor, 1.0, lambda: None)
     bare = yield timed(count, lambda n: caller.start(b"POST", b"/", [], b"", 5.0), times)
     for feed in feeds:
--- a/hookrouter/caches/__init__.py
+++ b/hookrouter/caches/__init__.py
@@ -3,7 +3,7 @@
 Another protocol can stand in for HTTP here: it takes the same Errand and fires the same Ended.
 """
 
-from .errands import Ended, Errand
-from .pool import Caches
+from .pool import CachePool
+from .requests import CacheRequest, SendResult
 
-__all__ = ["Caches", "Ended", "Errand"]
+__all__ = ["CachePool", "SendResult", "CacheRequest"]
--- a/hookrouter/caches/connection.py
+++ b/hookrouter/caches/connection.py
@@ -4,44 +4,48 @@
 
 from ..parsers import http1
 from ..parsers.http1 import Malformed
-from . import errands
+from . import requests
 
-MOST_READS = 8  # in a row, 64 kB each: more than the longest answer has
-NAMING = (b"x-rev", b"x-since-ms", b"content-length")  # fields that no two objects' copies have alike
+MAX_READS = 8  # in a row, 64 kB each: more than the longest answer has
+REVISION_FIELDS = (
+    b"x-rev",
+    b"x-since-ms",
+    b"content-length",
+)  # fields that no two objects' copies have alike
 
 
 class Connection(Protocol):
-    def __init__(self, caches, place):
-        self.caches, self.place = caches, place
-        self.number = self.send = self.idle_until = self.connector = None
+    def __init__(self, caches, endpoint):
+        self.caches, self.endpoint = caches, endpoint
+        self.slot = self.send = self.idle_timer = self.connector = None
         self.closing = False
-        self.came = False  # something, by the newest read
+        self.received = False  # something, by the newest read
         self.idle_since = 0.0
-        self.last = None  # (kind, object, part) that was asked last, and what named the copy that came
-        self.answers = http1.Answers(self._on_head, self._on_body, self._on_end, errands.LONGEST_BODY)
+        self.previous = None  # (kind, object, part) that was asked last, and what named the copy that came
+        self.parser = http1.Answers(self._on_head, self._on_body, self._on_end, requests.MAX_BODY_BYTES)
         self.head, self.pieces, self.length = None, [], 0
 
     def connectionMade(self):
         self.transport.setTcpNoDelay(True)
-        self.caches.came_up(self)
+        self.caches.on_connected(self)
 
-    def quiet(self):
+    def ready_for_request(self):
         """Whether it can take a request: what came unasked, or its end, may lie unread before the reactor."""
         if self.transport.doRead() is not None:
             self.close()
         return not self.closing
 
-    def catch_up(self):
+    def read_pending(self):
         """Takes in all that lies unread: after a pause of the process its deadlines come before its reads."""
-        for _ in range(MOST_READS):
-            if self.closing or self.send is None or self in self.caches.room.waiting:
+        for _ in range(MAX_READS):
+            if self.closing or self.send is None or self in self.caches.body_memory.waiting:
                 return
-            self.came = False
-            if self.transport.doRead() is not None or not self.came:
+            self.received = False
+            if self.transport.doRead() is not None or not self.received:
                 return  # its end is told by the reactor
 
     def dataReceived(self, data):
-        self.came = True
+        self.received = True
         if self.closing:
             return
         if self.send is None:
@@ -49,16 +53,16 @@
             self.close()  # nothing was asked
             return
         try:
-            self.answers.feed(data)
-        except Malformed as wrong:
+            self.parser.feed(data)
+        except Malformed as error:
             self.caches.log(
                 "cache sent what cannot be read, connection ended",
-                f"{self.place.name}: {wrong.user_message()}",
+                f"{self.endpoint.name}: {error.user_message()}",
             )
             self.caches.count("caches_malformed")
-            self.caches.lost_answer(self)
-        if self.send is not None and self.send.ended is None and self.caches.room.full():
-            self.caches.room.wait(self)
+            self.caches.on_malformed_response(self)
+        if self.send is not None and self.send.result is None and self.caches.body_memory.full():
+            self.caches.body_memory.wait(self)
             self.transport.pauseProducing()
 
     def resume(self):
@@ -67,13 +71,15 @@
     def _on_head(self, answer):
         if self.send is None or self.head is not None:
             raise Malformed("an answer to nothing")
-        if answer.status == 304 and (self.send.seen is None or answer.fields.get(b"x-rev") != self.send.seen):
+        if answer.status == 304 and (
+            self.send.client_revision is None or answer.fields.get(b"x-rev") != self.send.client_revision
+        ):
             raise Malformed("304 where there is no such copy")
         if answer.status == 200 and b"x-rev" in answer.fields:
-            asked, copy = self.send.asked, [answer.fields.get(name) for name in NAMING]
-            if self.last is not None and self.last[0] != asked and self.last[1] == copy:
+            target, revision = self.send.target, [answer.fields.get(name) for name in REVISION_FIELDS]
+            if self.previous is not None and self.previous[0] != target and self.previous[1] == revision:
                 raise Malformed("the answer before, once more")
-            self.last = asked, copy
+            self.previous = target, revision
         self.head = answer
 
     def _on_body(self, piece):
@@ -81,18 +87,18 @@
             raise Malformed("a body to nothing")
         self.pieces.append(piece)
         self.length += len(piece)
-        self.caches.room.take(len(piece))
+        self.caches.body_memory.take(len(piece))
 
     def _on_end(self):
-        self.caches.answered(self)
+        self.caches.on_response(self)
 
     def connectionLost(self, reason):
-        self.caches.went_down(self)
+        self.caches.on_disconnected(self)
 
-    def empty(self):
+    def discard_response(self):
         """Gives back what its send has received."""
-        self.caches.room.leave(self)
-        self.caches.room.give_back(self.length)
+        self.caches.body_memory.leave(self)
+        self.caches.body_memory.give_back(self.length)
         self.head, self.pieces, self.length = None, [], 0
 
     def close(self):
@@ -104,7 +110,7 @@
             self.connector.stopConnecting()
 
 
-class Outgoing(ClientFactory):
+class ConnectionFactory(ClientFactory):
     """One connection's way up."""
 
     noisy = False
@@ -116,4 +122,4 @@
         return self.connection
 
     def clientConnectionFailed(self, connector, reason):
-        self.connection.caches.went_down(self.connection)
+        self.connection.caches.on_disconnected(self.connection)
--- a/hookrouter/command/router.py
+++ b/hookrouter/command/router.py
@@ -39,9 +39,9 @@
     """This router's part in its fleet."""
 
     def told():
-        from ..node.told import Told
+        from ..node.shared_state import SharedState
 
-        return Told(router)
+        return SharedState(router)
 
     member = sharing_member(reactor, log, sections, told)
     if "spread" in sections:
@@ -50,10 +50,10 @@
         member.spread = Spreading(reactor, log, sections["spread"], member.sharing, router)
     if "warming" in sections:
         from ..fleet.member.warming import Warmer
-        from ..node.heed import Heed
+        from ..node.warming_observer import WarmingObserver
 
-        router.heed = Heed(router)
-        member.warming = Warmer(reactor, log, sections["warming"], member, router, router.heed)
+        router.warming_observer = WarmingObserver(router)
+        member.warming = Warmer(reactor, log, sections["warming"], member, router, router.warming_observer)
     return member
 
 
--- a/hookrouter/desk/relay.py
+++ b/hookrouter/desk/relay.py
@@ -99,11 +99,11 @@
 
     # ---- from upstream
 
-    def heard(self, epoch: int) -> None:
+    def on_epoch(self, epoch: int) -> None:
         """The upstream spoke under that epoch."""
         self.tail.epoch = max(self.tail.epoch, epoch)
 
-    def purged(self, purges: Iterable[Purge]) -> None:
+    def on_purges(self, purges: Iterable[Purge]) -> None:
         """The next purges of the order."""
         # How long a purge has been in effect is not known here: who lacks one gets no lease until it has it.
         for purge in purges:
@@ -111,7 +111,7 @@
         self.publish()
         self.settle()
 
-    def whole(self, purges: Iterable[Purge], newest: Position) -> None:
+    def on_snapshot(self, purges: Iterable[Purge], newest: Position) -> None:
         """A snapshot: those below go on from their places in the order as it is now."""
         self.tail.take(purges, newest)
         self.followers.other_branch()
@@ -122,16 +122,16 @@
         """A sealed slice of the snapshot."""
         self.tail.merge(state)
 
-    def granted(self, asked: int, answered: int, span: int, desk: int) -> None:
+    def on_grant(self, asked: int, answered: int, span: int, desk: int) -> None:
         """A renewal asked at that steady time was granted for span; answered, desk: wall times, not used."""
         self.fence.at(steady())
         self.fence.granted(asked, span)
 
-    def left(self) -> int:
+    def lease_left(self) -> int:
         """Of its lease, for who paces those that come back."""
         return self.span_left()
 
-    def place(self, n: int) -> tuple[int, int]:
+    def acknowledged(self, n: int) -> tuple[int, int]:
         """(applied by all that are live, applied by all) of what this relay has itself."""
         live, every = self.followers.least(steady())
         return min(n, n if live is None else live), min(n, n if every is None else every)
--- a/hookrouter/feed/events.py
+++ b/hookrouter/feed/events.py
@@ -9,24 +9,24 @@
 PHASES = {"active": interface.READY, "leaving": interface.DRAINING, "left": interface.GONE}
 
 
-class Listed(NamedTuple):
-    n: int
-    whole: bool
+class CacheListEvent(NamedTuple):
+    number: int
+    snapshot: bool
     caches: tuple
     addresses: tuple  # (host, port) of each
 
 
-class Purge(NamedTuple):
-    n: int
-    made: int  # Unix time in tenths of a millisecond
+class PurgeEvent(NamedTuple):
+    number: int
+    purged_at: int  # Unix time in tenths of a millisecond
     group: int
     object: str | None  # none: the whole group
 
 
-def read_address(value, what):
-    host, _, port = terms.read_text(value, what).rpartition(":")
+def read_address(value, key):
+    host, _, port = terms.read_text(value, key).rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) < 65536:
-        raise Malformed(f"{what}: an address and a port are wanted, not {terms.excerpt(value)}")
+        raise Malformed(f"{key}: an address and a port are wanted, not {terms.excerpt(value)}")
     return host, int(port)
 
 
@@ -46,12 +46,12 @@
 
 def read_event(event):
     event = terms.SettingsReader(event, "event")
-    n = event.get("n", terms.read_integer)
+    number = event.get("n", terms.read_integer)
     if "members" in event.values:
         members = event.section("members")
         rows = [read_cache(row) for row in members.get("endpoints", terms.read_array)]
-        return Listed(
-            n,
+        return CacheListEvent(
+            number,
             members.get("snapshot", terms.read_flag),
             tuple(cache for cache, _ in rows),
             tuple(address for _, address in rows),
@@ -60,8 +60,8 @@
         raise Malformed("event: neither members nor a purge")
     purge = event.section("purge")
     by_key = "key" in purge.values
-    return Purge(
-        n,
+    return PurgeEvent(
+        number,
         purge.get("at", terms.floor_units),
         0 if by_key else purge.get("group", terms.read_integer),
         purge.get("key", terms.read_text) if by_key else None,
@@ -72,8 +72,8 @@
     """From the bytes of one event; Malformed, whatever they are."""
     try:
         return read_event(json.loads(data))
-    except (ValueError, RecursionError) as wrong:
-        raise Malformed(str(wrong)) from None
+    except (ValueError, RecursionError) as error:
+        raise Malformed(str(error)) from None
 
 
 def read_known(known):
--- a/hookrouter/feed/caller.py
+++ b/hookrouter/feed/http_client.py
@@ -7,27 +7,27 @@
 
 from ..parsers import http1
 
-LONGEST_ANSWER = 1_000_000  # bytes
+MAX_BODY_BYTES = 1_000_000  # bytes
 
 
 class Connection(Protocol):
-    def __init__(self, caller):
-        self.caller = caller
-        self.answers = http1.Answers(self._on_head, self._on_body, self._on_end, caller.longest)
+    def __init__(self, client):
+        self.client = client
+        self.parser = http1.Answers(self._on_head, self._on_body, self._on_end, client.max_body)
         self.head, self.pieces = None, []
 
     def connectionMade(self):
         self.transport.setTcpNoDelay(True)
-        self.caller.came_up(self)
+        self.client.on_connected(self)
 
     def dataReceived(self, data):
         try:
-            self.answers.feed(data)
-        except http1.Malformed as wrong:
-            self.caller.failed(self, Failure(wrong))
+            self.parser.feed(data)
+        except http1.Malformed as error:
+            self.client.fail(self, Failure(error))
 
     def _on_head(self, answer):
-        if self.caller.call is None or self.head is not None:
+        if self.client.call is None or self.head is not None:
             raise http1.Malformed("an answer to nothing")
         self.head = answer
 
@@ -37,13 +37,13 @@
     def _on_end(self):
         head, body = self.head, b"".join(self.pieces)
         self.head, self.pieces = None, []
-        self.caller.answered(self, head, body)
+        self.client.on_response(self, head, body)
 
     def connectionLost(self, reason):
-        self.caller.went_down(self, reason)
+        self.client.on_disconnected(self, reason)
 
 
-class Way(ClientFactory):
+class ConnectionFactory(ClientFactory):
     noisy = False
 
     def __init__(self, connection):
@@ -53,24 +53,24 @@
         return self.connection
 
     def clientConnectionFailed(self, connector, reason):
-        self.connection.caller.went_down(self.connection, reason)
+        self.connection.client.on_disconnected(self.connection, reason)
 
 
-class Caller:
+class HttpClient:
     """Owns its connection and the one call that is out: its Deferred fires once, and its deadline goes with
     it.
     """
 
-    def __init__(self, reactor, deadlines, address, longest=LONGEST_ANSWER):
+    def __init__(self, reactor, deadlines, address, max_body=MAX_BODY_BYTES):
         """longest: bytes of an answer, at most."""
-        self.reactor, self.deadlines, self.address, self.longest = reactor, deadlines, address, longest
-        self.connection = self.connector = self.call = self.pieces = self.deadline = None
-        self.up = False
+        self.reactor, self.deadlines, self.address, self.max_body = reactor, deadlines, address, max_body
+        self.connection = self.connector = self.call = self.pieces = self.timer = None
+        self.connected = False
 
     def busy(self):
         return self.call is not None
 
-    def start(self, method, target, fields, body, within):
+    def start(self, method, target, fields, body, timeout):
         """A Deferred of (status, body); it fails after that many seconds, or with the connection."""
         host, port = self.address
         self.pieces = http1.request(
@@ -80,58 +80,60 @@
             body,
         )
         call = self.call = Deferred()
-        self.deadline = self.deadlines.after(within, self._overdue)
+        self.timer = self.deadlines.after(timeout, self._on_timeout)
         if self.connection is None:
             self.connection = Connection(self)
-            self.connector = self.reactor.connectTCP(host, port, Way(self.connection), timeout=None)
-        elif self.up:
+            self.connector = self.reactor.connectTCP(
+                host, port, ConnectionFactory(self.connection), timeout=None
+            )
+        elif self.connected:
             self.connection.transport.writeSequence(self.pieces)
         return call
 
-    def came_up(self, connection):
+    def on_connected(self, connection):
         if connection is not self.connection:
             connection.transport.abortConnection()
             return
-        self.up = True
+        self.connected = True
         if self.call is not None:
             connection.transport.writeSequence(self.pieces)
 
-    def answered(self, connection, head, body):
+    def on_response(self, connection, head, body):
         if connection is self.connection:
             if not head.keep:
                 self._drop()
-            self._end().callback((head.status, body))
+            self._finish_call().callback((head.status, body))
 
-    def failed(self, connection, failure):
+    def fail(self, connection, failure):
         """Ends the connection, and the call that is out."""
         if connection is self.connection:
             self._drop()
             if self.call is not None:
-                self._end().errback(failure)
+                self._finish_call().errback(failure)
 
-    def went_down(self, connection, failure):
+    def on_disconnected(self, connection, failure):
         """It has ended by itself, or never came up: there is nothing left to close."""
         if connection is self.connection:
-            self.connection, self.connector, self.up = None, None, False
+            self.connection, self.connector, self.connected = None, None, False
             if self.call is not None:
-                self._end().errback(failure)
+                self._finish_call().errback(failure)
 
-    def _overdue(self):
-        self.failed(self.connection, Failure(TimeoutError()))
+    def _on_timeout(self):
+        self.fail(self.connection, Failure(TimeoutError()))
 
     def stop(self):
-        self.failed(self.connection, Failure(ConnectionAborted()))
+        self.fail(self.connection, Failure(ConnectionAborted()))
 
-    def _end(self):
-        self.deadlines.drop(self.deadline)
+    def _finish_call(self):
+        self.deadlines.drop(self.timer)
         call, self.call = self.call, None
         return call
 
     def _drop(self):
         """Ends the connection, whether it is up or on its way; the next call makes a new one."""
-        connection, connector, up = self.connection, self.connector, self.up
-        self.connection, self.connector, self.up = None, None, False
-        if up and connection.transport is not None:
+        connection, connector, connected = self.connection, self.connector, self.connected
+        self.connection, self.connector, self.connected = None, None, False
+        if connected and connection.transport is not None:
             connection.transport.abortConnection()
-        elif connector is not None and not up:
+        elif connector is not None and not connected:
             connector.stopConnecting()
--- a/hookrouter/feed/purges.py
+++ b/hookrouter/feed/purges.py
@@ -3,7 +3,7 @@
 import time
 from time import CLOCK_BOOTTIME, clock_gettime_ns
 
-from ..purges import place as p
+from ..purges import place as place
 from ..purges import wire
 from ..purges.place import Place
 from ..purges.types import Position
@@ -22,14 +22,14 @@
     desk), each time in tenths of a millisecond, asked by the steady clock; adopt(slice), which takes in a
     sealed slice, a Deferred where that lasts; and place(n), what may be answered for."""
 
-    path, counted = b"/v1/feed", "purge_connections"
-    ended = "purge feed connection ended, a new one follows"
+    path, connection_counter = b"/v1/feed", "purge_connections"
+    ended_message = "purge feed connection ended, a new one follows"
 
     def __init__(
         self,
         reactor,
         deadlines,
-        desk,
+        handler,
         addresses,
         purges,
         name,
@@ -40,7 +40,7 @@
         steady=steady,
     ):
         """addresses: of which one has the desk at a time; the next is tried where one has not."""
-        super().__init__(reactor, deadlines, desk, addresses[0], 0, log, count)
+        super().__init__(reactor, deadlines, handler, addresses[0], 0, log, count)
         self.addresses, self.hint = tuple(addresses), None
         self.place, self.name, self.relay = Place(), name, relay
         self.generation = int(wall() * 1_000)  # a later life has a later one
@@ -71,12 +71,12 @@
 
     def pace(self):
         """With [admission]: it comes back by jitter, or when it is told to."""
-        from .paced import Pacing
+        from .reconnect_pacing import ReconnectPacing
 
-        self.pacing = Pacing(self.desk)
+        self.pacing = ReconnectPacing(self.handler)
 
-    def fields(self):
-        paced = [] if self.pacing is None else self.pacing.fields()
+    def request_fields(self):
+        paced = [] if self.pacing is None else self.pacing.request_fields()
         return [
             *paced,
             *self._secret_field(),
@@ -94,20 +94,20 @@
 
     def start(self):
         if self.pacing is not None:
-            self.pacing.go()
+            self.pacing.on_connect()
         super().start()
         self.renewals.start()
 
     # ---- what comes
 
-    def came(self, stream, data):
+    def on_event(self, stream, data):
         if stream is not self.stream:
             return
         try:
             event = wire.read_event(data)
-        except wire.Malformed as wrong:
+        except wire.Malformed as error:
             self.count("purges_malformed")
-            self.end(stream, f"an event that cannot be read: {wrong}")
+            self.abort(stream, f"an event that cannot be read: {error}")
             return
         if not self.place.epoch(event.epoch):
             self.log(
@@ -115,12 +115,12 @@
                 epoch=event.epoch,
                 heard=self.place.seen,
             )
-            self.end(stream, "a former life of the desk")
+            self.abort(stream, "a former life of the desk")
             return
-        self.desk.heard(event.epoch)
+        self.handler.on_epoch(event.epoch)
         if event.t != "begin" and self.place.parts is None:
             if self.pacing is not None:
-                self.pacing.came()
+                self.pacing.on_admitted()
             self.place.goes_on()
             self.slices.go()
         EVENTS[event.t](self, stream, event)
@@ -128,15 +128,15 @@
     def _purges(self, stream, event):
         applied = []
         for purge in wire.purges_of(event):
-            done = self.place.purge(purge)
-            if done == p.APPLY:
+            action = self.place.purge(purge)
+            if action == place.APPLY:
                 applied.append(purge)
-            elif done == p.CUT:
+            elif action == place.CUT:
                 self.count("purge_gaps")
-                self.end(stream, f"purge {purge.epoch}.{purge.n} out of its place")
+                self.abort(stream, f"purge {purge.epoch}.{purge.n} out of its place")
                 break
         if applied:
-            self.desk.purged(applied)
+            self.handler.on_purges(applied)
             self.renew_soon()
 
     def _begin(self, stream, event):
@@ -146,14 +146,14 @@
         newest = Position(event.of, event.n)
         purges = self.place.end(newest, event.count)
         if purges is None:
-            self.end(stream, "a snapshot that is not whole")
+            self.abort(stream, "a snapshot that is not whole")
             return
         self.log(
             "purges taken over whole",
             newest=wire.number(newest),
             purges=len(purges),
         )
-        self.desk.whole(purges, newest)
+        self.handler.on_snapshot(purges, newest)
         self.slices.go()
 
     # ---- sealed purges
@@ -163,7 +163,7 @@
         return self.place.catch_up.pending
 
     def adopt(self, state):
-        return self.desk.adopt(state)
+        return self.handler.adopt(state)
 
     def caught_up(self):
         self.renew_soon()
@@ -171,32 +171,32 @@
     def list_anew(self):
         self.place.list_anew()
         if self.stream is not None:
-            self.end(self.stream, "slices have to be listed anew")
+            self.abort(self.stream, "slices have to be listed anew")
 
-    def _beat(self, stream, event):
+    def _heartbeat(self, stream, event):
         """The silence of the feed is over; the lease has its own calls."""
 
-    def refused(self, answer):
+    def on_rejected(self, answer):
         """One that has not the desk says who has; believed where it is one of those that the file names."""
         if self.pacing is not None:
-            self.pacing.told(answer)
-        there = answer.fields.get(b"x-desk") or answer.fields.get(b"x-elsewhere") or b""
-        host, _, port = there.decode("latin-1").rpartition(":")
+            self.pacing.on_rejected(answer)
+        location = answer.fields.get(b"x-desk") or answer.fields.get(b"x-elsewhere") or b""
+        host, _, port = location.decode("latin-1").rpartition(":")
         if port.isdecimal() and (host, int(port)) in self.addresses:
             self.hint = host, int(port)
 
-    def went_down(self, stream, why):
+    def on_disconnected(self, stream, why):
         self.place.broken()
-        stays = False
+        keep_address = False
         if self.pacing is not None:
-            self.pause, stays = self.pacing.pause(self.hint is not None)
-        if len(self.addresses) > 1 and not self.stopped and not stays:
-            after = self.addresses.index((self.host, self.port)) + 1
-            self._turn(self.hint or self.addresses[after % len(self.addresses)])
+            self.pause, keep_address = self.pacing.pause(self.hint is not None)
+        if len(self.addresses) > 1 and not self.stopped and not keep_address:
+            next_index = self.addresses.index((self.host, self.port)) + 1
+            self._use_address(self.hint or self.addresses[next_index % len(self.addresses)])
             self.hint = None
-        super().went_down(stream, why)
+        super().on_disconnected(stream, why)
 
-    def _turn(self, address):
+    def _use_address(self, address):
         self.host, self.port = address
         self.renewals.move(address)
 
@@ -208,23 +208,25 @@
 
     def renewal(self, leave):
         # Nothing is answered for while slices are missing.
-        least, every = (-1, -1) if self.catching_up() else self.desk.place(self.place.position.n)
+        min_live, min_all = (
+            (-1, -1) if self.catching_up() else self.handler.acknowledged(self.place.position.n)
+        )
         return wire.Renew(
             self.name,
             self.generation,
             *self.place.position,
-            least,
-            every,
+            min_live,
+            min_all,
             self.place.seen,
             self.skew,
             self.relay,
             leave,
         )
 
-    def granted(self, asked, wall, granted):
+    def on_grant(self, requested_at, wall, granted):
         if not self.place.epoch(granted.epoch):
             return False
-        self.desk.granted(asked, wall, granted.span, granted.at)
+        self.handler.on_grant(requested_at, wall, granted.span, granted.at)
         return True
 
     def move(self, addresses):
@@ -248,5 +250,5 @@
     "purges": PurgeFeed._purges,
     "begin": PurgeFeed._begin,
     "end": PurgeFeed._end,
-    "beat": PurgeFeed._beat,
+    "beat": PurgeFeed._heartbeat,
 }
--- a/hookrouter/feed/renewals.py
+++ b/hookrouter/feed/renewals.py
@@ -16,14 +16,14 @@
 from ..purges import wire
 from ..tables.deadlines import Deadlines
 from ..terms import SECOND
-from .caller import Caller
+from .http_client import HttpClient
 
 RENEWALS = 4  # in one lease: three may be lost
-CALL_WITHIN = 1.0  # seconds, and never longer than from one renewal to the next two
+CALL_TIMEOUT = 1.0  # seconds, and never longer than from one renewal to the next two
 # Seconds until the next try where there was no lease: noting a name, or catching up, is quick.
 DENIED_PAUSE = 0.05
 # Seconds until a renewal that news asks for: what comes in one burst is answered for at once.
-LEAST_PAUSE = 0.002
+MIN_PAUSE = 0.002
 NEWS_IN_LEASE = 10  # renewals for news in one lease: what comes in a stream is answered for together
 
 
@@ -33,7 +33,7 @@
     def renewal(self, leave: bool) -> wire.Renew:
         """What is asked for now. leave: that it answers nothing any more."""
 
-    def granted(self, asked: int, wall: int, granted: wire.Granted) -> bool:
+    def on_grant(self, requested_at: int, wall: int, granted: wire.Granted) -> bool:
         """What was answered to a renewal of these times, steady and wall; False: by who must not be heard."""
 
 
@@ -59,51 +59,51 @@
         self._reactor, self._deadlines, self._host = reactor, deadlines, host
         self._log, self._count, self._wall, self._steady = log, count, wall, steady
         self._fields = list(fields)
-        self._every = lease / SECOND / RENEWALS
+        self._interval = lease / SECOND / RENEWALS
         self._spacing = lease / SECOND / NEWS_IN_LEASE  # seconds between two for news, at least
-        self._begun = -self._spacing  # when the last one left, by the deadlines' clock
-        self._caller = Caller(reactor, deadlines, address)
+        self._last_started_at = -self._spacing  # when the last one left, by the deadlines' clock
+        self._client = HttpClient(reactor, deadlines, address)
         self._timer: object | None = None
-        self._again = self._stopped = self._leaving = False
+        self._renew_again = self._stopped = self._leaving = False
 
     def start(self) -> None:
         """The first one is due now, unless one is already."""
         if self._timer is None and not self._stopped:
-            self._later(0)
+            self._schedule(0)
 
     def soon(self) -> None:
         """There is news: a moment from now, but not too soon after the last one, nor while a call is out."""
-        if self._caller.busy():
-            self._again = True
-        elif not self._over():
-            self._later(self._pause())
+        if self._client.busy():
+            self._renew_again = True
+        elif not self._closed():
+            self._schedule(self._news_pause())
 
     def move(self, address: tuple[str, int]) -> None:
         """The lease is renewed there from now on; a call that is out ends."""
-        self._caller.stop()
-        self._caller = Caller(self._reactor, self._deadlines, address)
+        self._client.stop()
+        self._client = HttpClient(self._reactor, self._deadlines, address)
 
     def stop(self) -> None:
         """Nothing is renewed any more."""
         self._stopped = True
         self._deadlines.drop(self._timer)
-        self._caller.stop()
+        self._client.stop()
 
     def leave(self) -> Deferred:
         """Says that it answers nothing any more; fires, or fails, once it was told."""
         self._leaving = True
         self._deadlines.drop(self._timer)
-        self._caller.stop()
+        self._client.stop()
         return self._call(True)
 
-    def _over(self) -> bool:
+    def _closed(self) -> bool:
         return self._stopped or self._leaving
 
-    def _pause(self) -> float:
+    def _news_pause(self) -> float:
         """Seconds until the next one for news."""
-        return max(LEAST_PAUSE, self._begun + self._spacing - self._deadlines.clock.seconds())
+        return max(MIN_PAUSE, self._last_started_at + self._spacing - self._deadlines.clock.seconds())
 
-    def _later(self, seconds: float) -> None:
+    def _schedule(self, seconds: float) -> None:
         if self._timer is not None and not self._deadlines.sooner(self._timer, seconds):
             return
         self._deadlines.drop(self._timer)
@@ -111,22 +111,22 @@
 
     def _renew(self) -> None:
         self._timer = None
-        if self._caller.busy() or self._stopped:
+        if self._client.busy() or self._stopped:
             return  # the call that is out ends soon, see _ended
-        self._again, self._begun = False, self._deadlines.clock.seconds()
-        asked, wall = self._steady(), int(self._wall() * SECOND)
+        self._renew_again, self._last_started_at = False, self._deadlines.clock.seconds()
+        requested_at, wall = self._steady(), int(self._wall() * SECOND)
         call = self._call(False)
-        call.addCallbacks(self._renewed, self._not_renewed, callbackArgs=(asked, wall))
+        call.addCallbacks(self._on_response, self._on_failure, callbackArgs=(requested_at, wall))
         call.addErrback(lambda failure: self._log("renewal failed", failure.getTraceback(), level="error"))
-        call.addCallback(self._ended)
-        self._later(self._every)
+        call.addCallback(self._on_call_ended)
+        self._schedule(self._interval)
 
     def _call(self, leave: bool) -> Deferred:
         body = wire.write(self._host.renewal(leave))
-        within = min(CALL_WITHIN, 2 * self._every)
-        return self._caller.start(b"POST", b"/v1/renew", self._fields, body, within)
+        timeout = min(CALL_TIMEOUT, 2 * self._interval)
+        return self._client.start(b"POST", b"/v1/renew", self._fields, body, timeout)
 
-    def _renewed(self, answer: tuple[int, bytes], asked: int, wall: int) -> None:
+    def _on_response(self, answer: tuple[int, bytes], requested_at: int, wall: int) -> None:
         status, body = answer
         if status == 503:  # not the desk any more, or not yet
             self._count("renewals_failed")
@@ -136,15 +136,15 @@
             self._count("renewals_refused")
             return
         granted = wire.read_granted(body)
-        if not self._host.granted(asked, wall, granted):
+        if not self._host.on_grant(requested_at, wall, granted):
             self._count("renewals_refused")
-        elif self._again or not granted.span:
-            self._later(self._pause() if self._again else DENIED_PAUSE)
+        elif self._renew_again or not granted.span:
+            self._schedule(self._news_pause() if self._renew_again else DENIED_PAUSE)
 
-    def _not_renewed(self, failure: Failure) -> None:
+    def _on_failure(self, failure: Failure) -> None:
         self._count("renewals_failed")
 
-    def _ended(self, _: object) -> None:
+    def _on_call_ended(self, _: object) -> None:
         """A renewal that came due while the last one was out follows at once."""
-        if self._timer is None and not self._over():
-            self._later(LEAST_PAUSE)
+        if self._timer is None and not self._closed():
+            self._schedule(MIN_PAUSE)
--- a/hookrouter/feed/slices.py
+++ b/hookrouter/feed/slices.py
@@ -20,13 +20,13 @@
 from ..purges.retention.archive import SliceState
 from ..purges.slice_codec import MOST_ENCODED, Row, decode_row
 from ..tables.deadlines import Deadlines
-from .caller import Caller
+from .http_client import HttpClient
 
-FETCH_WITHIN = 10.0  # seconds for one slice: a quarter of a megabyte over a link that is nearly full
+FETCH_TIMEOUT = 10.0  # seconds for one slice: a quarter of a megabyte over a link that is nearly full
 RETRY_PAUSE = 0.25  # seconds until the next try of a slice that could not be had
-MOST_REFUSED = 3  # in a row; then another snapshot is asked for, perhaps elsewhere
+MAX_FAILURES = 3  # in a row; then another snapshot is asked for, perhaps elsewhere
 LINK_SHARE = 0.5  # of the time that may go to fetching
-LEAST_PAUSE = 0.001  # seconds between two of them
+MIN_PAUSE = 0.001  # seconds between two of them
 
 
 class SliceHost(Protocol):
@@ -60,10 +60,10 @@
         self._reactor, self._deadlines, self._fields = reactor, deadlines, list(fields)
         self._address, self._host, self._catch_up = address, host, catch_up
         self._log, self._count = log, count
-        self._caller: Caller | None = None
+        self._client: HttpClient | None = None
         self._timer: object | None = None
         self._busy = self._stopped = False
-        self._refused = 0  # tries in a row that failed
+        self._failures = 0  # tries in a row that failed
 
     def go(self) -> None:
         """Something may be missing."""
@@ -75,73 +75,73 @@
         if row is not None:
             self._fetch(row)
         elif not self._catch_up.pending:
-            self._hang_up()
+            self._disconnect()
             self._host.caught_up()
 
     def stop(self) -> None:
         """Nothing more is fetched, and nobody is told."""
         self._stopped = True
         self._deadlines.drop(self._timer)
-        self._hang_up()
+        self._disconnect()
 
     def _fetch(self, row: Row) -> None:
         address = self._address()
-        if self._caller is None or self._caller.address != address:
-            self._hang_up()
-            self._caller = Caller(self._reactor, self._deadlines, address, MOST_ENCODED)
-        self._busy, began = True, perf_counter()
+        if self._client is None or self._client.address != address:
+            self._disconnect()
+            self._client = HttpClient(self._reactor, self._deadlines, address, MOST_ENCODED)
+        self._busy, started_at = True, perf_counter()
         target = f"/v1/slices/{row.digest}".encode()
-        call = self._caller.start(b"GET", target, self._fields, b"", FETCH_WITHIN)
-        call.addCallback(self._came, row, began)
-        call.addErrback(self._failed, row)
+        call = self._client.start(b"GET", target, self._fields, b"", FETCH_TIMEOUT)
+        call.addCallback(self._on_response, row, started_at)
+        call.addErrback(self._on_failure, row)
 
-    def _came(self, answer: tuple[int, bytes], row: Row, began: float) -> Deferred | None:
+    def _on_response(self, answer: tuple[int, bytes], row: Row, started_at: float) -> Deferred | None:
         status, body = answer
         if status == 404:
-            self._lost(f"slice {row.digest} is not listed any more")
+            self._request_new_list(f"slice {row.digest} is not listed any more")
             return None
         if status != 200:
             raise ConnectionError(f"status {status} in place of slice {row.digest}")
         state = decode_row(row, body)
         self._count("slices_fetched")
-        spent = perf_counter() - began
-        done = self._host.adopt(state)
-        if done is None:
-            self._taken_in(None, row, spent)
+        spent = perf_counter() - started_at
+        adoption = self._host.adopt(state)
+        if adoption is None:
+            self._on_adopted(None, row, spent)
             return None
-        return done.addCallback(self._taken_in, row, spent)
+        return adoption.addCallback(self._on_adopted, row, spent)
 
-    def _taken_in(self, _: object, row: Row, spent: float) -> None:
-        self._busy, self._refused = False, 0
+    def _on_adopted(self, _: object, row: Row, spent: float) -> None:
+        self._busy, self._failures = False, 0
         self._catch_up.took(row)
-        self._later(max(LEAST_PAUSE, spent * (1 / LINK_SHARE - 1)))
+        self._schedule(max(MIN_PAUSE, spent * (1 / LINK_SHARE - 1)))
 
-    def _failed(self, failure: Failure, row: Row) -> None:
+    def _on_failure(self, failure: Failure, row: Row) -> None:
         if self._stopped:
             return
         self._busy = False
-        self._refused += 1
+        self._failures += 1
         if failure.check(MalformedSlice):
             self._count("slices_refused")
             self._log("sealed slice of purges is not as listed, fetched again", failure.value.user_message())
         else:
             self._count("slices_failed")
-        if self._refused >= MOST_REFUSED:
-            self._lost(f"slice {row.digest} could not be had {self._refused} times")
+        if self._failures >= MAX_FAILURES:
+            self._request_new_list(f"slice {row.digest} could not be had {self._failures} times")
             return
-        self._later(RETRY_PAUSE)
+        self._schedule(RETRY_PAUSE)
 
-    def _lost(self, why: str) -> None:
+    def _request_new_list(self, reason: str) -> None:
         """What was taken in stays; the rest is listed anew by another snapshot."""
-        self._busy, self._refused = False, 0
-        self._log("sealed slices of purges are asked for anew", why)
+        self._busy, self._failures = False, 0
+        self._log("sealed slices of purges are asked for anew", reason)
         self._host.list_anew()
 
-    def _later(self, seconds: float) -> None:
+    def _schedule(self, seconds: float) -> None:
         self._deadlines.drop(self._timer)
         self._timer = self._deadlines.after(seconds, self.go)
 
-    def _hang_up(self) -> None:
-        caller, self._caller = self._caller, None
-        if caller is not None:
-            caller.stop()
+    def _disconnect(self) -> None:
+        http_client, self._client = self._client, None
+        if http_client is not None:
+            http_client.stop()
--- a/hookrouter/fleet/member/purge_door.py
+++ b/hookrouter/fleet/member/purge_door.py
@@ -3,7 +3,7 @@
 from twisted.web import resource, server
 
 from ...desk import web
-from ...feed.caller import Caller
+from ...feed.http_client import HttpClient
 from ...tables.deadlines import Deadlines
 
 PASS_WITHIN = 2.5  # seconds for the owner's answer: less than a submitter waits for this one
@@ -61,7 +61,7 @@
             (b"X-Passed", b"1"),
             (b"Content-Type", b"application/json"),
         ]
-        caller, gone = Caller(door.reactor, door.deadlines, (host, int(port))), []
+        caller, gone = HttpClient(door.reactor, door.deadlines, (host, int(port))), []
         request.notifyFinish().addErrback(gone.append)
         door.passed += 1
         caller.start(request.method, request.uri, fields, body, PASS_WITHIN).addBoth(
--- a/hookrouter/fleet/member/warmed.py
+++ b/hookrouter/fleet/member/warmed.py
@@ -1,7 +1,7 @@
 """One warming under way in this member: the table's effects carried out, each fill under a live warrant."""
 
 from ... import interface
-from ...caches.errands import Errand
+from ...caches.requests import CacheRequest
 from ...decisions.warming import (
     Allowance,
     BorrowedLists,
@@ -26,9 +26,14 @@
 class Warmed:
     def __init__(self, warmer, cache, warrant):
         self.warmer, self.cache, self.warrant, self.number = warmer, cache, warrant, warrant.number
-        self.heed, self.router, self.stopped, self.sent = warmer.heed, warmer.router, False, 0
+        self.warming_observer, self.router, self.stopped, self.sent = (
+            warmer.warming_observer,
+            warmer.router,
+            False,
+            0,
+        )
         terms, now = self.router.terms, warmer.now()
-        row = self.heed.caches[cache]
+        row = self.warming_observer.caches[cache]
         self.zone = row.zone
         self.flow = terms.topology.answer_rate / 10  # bytes in a tenth of a millisecond, one transfer
         allowance = None
@@ -51,7 +56,11 @@
         }
         self.table = Warming(
             steps.Terms(
-                cache, self._scene, self.heed.purged, self.doors.source_for, lenders=warmer.section["lenders"]
+                cache,
+                self._scene,
+                self.warming_observer.fleet_purges,
+                self.doors.source_for,
+                lenders=warmer.section["lenders"],
             ),
             BorrowedLists(),
         )
@@ -66,15 +75,18 @@
     # ---- the location
 
     def _scene(self):
-        heed, now = self.heed, self.warmer.now()
-        after, past = heed.edges(self.zone, now), heed.edges(self.zone, now, settled=True)
+        observer, now = self.warming_observer, self.warmer.now()
+        after, past = (
+            observer.ready_caches(self.zone, now),
+            observer.ready_caches(self.zone, now, settled=True),
+        )
         before = tuple(name for name in after if name != self.cache)
         return LocationState(
             self.cache,
             before,
             after,
             self._warm(now),
-            heed.parents(now),
+            observer.warm_parents(now),
             self.kinds,
             self.router.terms.topology.siblings != interface.NO_SIBLINGS,
             past or before,
@@ -82,16 +94,16 @@
         )
 
     def _warm(self, now):
-        heed = self.heed
+        observer = self.warming_observer
         return frozenset(
             name
-            for name in heed.edges(self.zone, now)
-            if not heed.cold(heed.caches[name], now) and name != self.cache
+            for name in observer.ready_caches(self.zone, now)
+            if not observer.is_cold(observer.caches[name], now) and name != self.cache
         )
 
     def looked(self):
         """The list of caches has changed."""
-        row, now = self.heed.caches.get(self.cache), self.warmer.now()
+        row, now = self.warming_observer.caches.get(self.cache), self.warmer.now()
         if row is None:
             self.take(messages.Aborted(messages.CACHE_LEFT))
         elif row.phase != interface.READY:
@@ -100,12 +112,16 @@
             self.take(messages.Aborted(messages.CACHE_FAILED))  # it started anew: that is another warming
         else:
             self.doors.update(
-                now, True, self._warm(now), self.heed.parents(now), *self.warmer.place(self.cache)
+                now,
+                True,
+                self._warm(now),
+                self.warming_observer.warm_parents(now),
+                *self.warmer.place(self.cache),
             )
 
     def others(self, summary):
         if self.allowance is not None and summary is not None:
-            work = self.heed.mean / self.flow
+            work = self.warming_observer.mean_size / self.flow
             self.allowance.set_others(self.warmer.now(), summary.age, summary.others_rate * work / 10_000)
 
     def looked_up(self, size):
@@ -167,7 +183,7 @@
         # 16 hex digits as clients' ids have: this router's number, the duty's, the fill's.
         router = self.router.terms.topology.number
         trace = f"{router % 65_536:04x}{act.number % (1 << 32):08x}{self.sent % 65_536:04x}"
-        errand = Errand(
+        request = CacheRequest(
             kind_name,
             trace,
             object,
@@ -178,29 +194,30 @@
             FILL_WITHIN,
             effect.source or self._origin(),
             0,
-            self.heed.age(kind, object, effect.group, now),
+            self.warming_observer.max_copy_age(kind, object, effect.group, now),
             True,
-            fence=f"{act.duty} {act.number}",
+            fencing_token=f"{act.duty} {act.number}",
         )
         self.warmer.count("warming_fills")
         send = self.router.caches.send(
-            self.cache, errand, FILL_WITHIN / 10_000, self.router.control.rules.soon / 10_000
+            self.cache, request, FILL_WITHIN / 10_000, self.router.control.rules.soon / 10_000
         )
         send.deferred.addCallback(self._ended, effect)
 
     def _origin(self):
         sort = self.router.terms.topology.origin_machine_type
         return next(
-            (name for name, one in sorted(self.heed.caches.items()) if one.machine_type == sort), None
+            (name for name, one in sorted(self.warming_observer.caches.items()) if one.machine_type == sort),
+            None,
         )
 
     def _ended(self, ended, effect):
-        if ended.refused:
+        if ended.fence_rejected:
             end = messages.OLD_NUMBER
-        elif ended.end != interface.SATISFIED:
+        elif ended.outcome != interface.SATISFIED:
             end = messages.FAILED
         else:
-            end = messages.HELD_ALREADY if ended.note == interface.FOUND else messages.FILLED
+            end = messages.HELD_ALREADY if ended.copy_status == interface.FOUND else messages.FILLED
         self.warmer.count("warming_" + end.replace(" ", "_"))
         self.take(messages.FillEnded(effect.name, end))
 
--- a/hookrouter/fleet/member/warming.py
+++ b/hookrouter/fleet/member/warming.py
@@ -41,15 +41,15 @@
 class Warmer:
     """heed: what the router notes; send(cache, errand fields) -> Deferred of how it ended."""
 
-    def __init__(self, reactor, log, section, member, router, heed):
+    def __init__(self, reactor, log, section, member, router, observer):
         self.reactor, self.log, self.section, self.member = reactor, log, section, member
-        self.router, self.heed, self.sharing = router, heed, member.sharing
-        self.lender = Lender(heed.sketch, lambda: heed.purged.newest, router.now())
-        heed.halved = self.lender.halved
+        self.router, self.warming_observer, self.sharing = router, observer, member.sharing
+        self.lender = Lender(observer.sketch, lambda: observer.fleet_purges.newest, router.now())
+        observer.on_halved = self.lender.halved
         self.sort = DUTY + router.terms.topology.zone
         self.asker = Asker(reactor, f"{member.name}#{member.terms.life}.warming", member._tell)
         member.askers["warming"], self.own, self.at_work = self.asker, {}, {}
-        heed.on_list, heed.on_late, heed.on_sent = self._listed, self._late, self._sent
+        observer.on_list, observer.on_late, observer.on_sent = self._listed, self._late, self._sent
         self.sharing.lend(POPULAR, self._popular)
         self.sharing.lend(COURSES, lambda: encode(list(self.own.values())))
         self.sharing.subscribe(COURSE, self._offered)
@@ -105,9 +105,9 @@
     def _listed(self, before):
         """A cache of the zone that started: one of the zone's first few by its hash says so."""
         now, zone = self.now(), self.router.terms.topology.zone
-        for name in self.heed.edges(zone, now):
-            cache, old = self.heed.caches[name], before.get(name)
-            if self.heed.cold(cache, now) and (old is None or cache.born > old.born):
+        for name in self.warming_observer.ready_caches(zone, now):
+            cache, old = self.warming_observer.caches[name], before.get(name)
+            if self.warming_observer.is_cold(cache, now) and (old is None or cache.born > old.born):
                 order = rank(name, [self.member.name, *self.sharing.neighbours()])
                 place = order.index(self.member.name)
                 if place < DECLARERS:
@@ -129,7 +129,7 @@
     def _sent(self, cache, size):
         warmed = self.at_work.get(cache)
         if warmed is not None:
-            warmed.looked_up(size or self.heed.mean)
+            warmed.looked_up(size or self.warming_observer.mean_size)
 
     # ---- the duty
 
@@ -143,7 +143,9 @@
     def _begin(self, result, warrant, cache, tries=LIST_TRIES):
         if result[0] != "out of order" or result[1] != warrant.number or warrant.act(steady(), None) is None:
             return  # it is another's by now
-        if cache not in self.heed.caches:  # the feed is late here: without its start no allowance is known
+        if (
+            cache not in self.warming_observer.caches
+        ):  # the feed is late here: without its start no allowance is known
             if tries:
                 self.reactor.callLater(LIST_AGAIN, self._begin, result, warrant, cache, tries - 1)
             else:
@@ -221,8 +223,12 @@
 
     def place(self, cache):
         """(how many warmings this router knows of, which this is): sources' room is shared out so."""
-        names = sorted({*self.at_work, *self.lender.plans} & set(self.heed.caches) | {cache})
-        cold = [name for name in names if name == cache or self.heed.cold(self.heed.caches[name], self.now())]
+        names = sorted({*self.at_work, *self.lender.plans} & set(self.warming_observer.caches) | {cache})
+        cold = [
+            name
+            for name in names
+            if name == cache or self.warming_observer.is_cold(self.warming_observer.caches[name], self.now())
+        ]
         return len(cold), cold.index(cache)
 
     def clock(self):
--- a/hookrouter/front/calls.py
+++ b/hookrouter/front/calls.py
@@ -6,137 +6,148 @@
 from ..parsers.thrift import Malformed
 from ..terms import UNITS_PER_MS
 
-MOST_FIELDS = 32  # in one call: the service's own have eleven at most
-LONGEST_FIELD = 256  # bytes; the longest of the service's own has 32
-LONGEST_ALLOW = 10**8  # milliseconds, over a day: no client waits longer
-MOST_GROUPS = 256
-MOST_PARTS = 10**9  # of an object; the service's own have some dozens
-LARGEST = 10**9  # KB of one part
+MAX_FIELDS = 32  # in one call: the service's own have eleven at most
+MAX_FIELD_BYTES = 256  # bytes; the longest of the service's own has 32
+MAX_TIME_ALLOWED_MS = 10**8  # milliseconds, over a day: no client waits longer
+GROUP_COUNT = 256
+PART_COUNT = 10**9  # of an object; the service's own have some dozens
+MAX_SIZE_KB = 10**9  # KB of one part
 HEX = frozenset("0123456789abcdefABCDEF")
 DIGITS = frozenset("0123456789")
-ID = 16  # digits of an id of a lookup or object
-LONGEST_MARK = 64  # digits of a key or a tag: twice the longest of the service's own
+ID_DIGITS = 16  # digits of an id of a lookup or object
+MAX_HEX_DIGITS = 64  # digits of a key or a tag: twice the longest of the service's own
 
 
-class Asked(NamedTuple):
+class LookupRequest(NamedTuple):
     """One lookup as the client put it; ids as given."""
 
     trace: str
     kind: str
-    allow: int  # tenths of a millisecond that the client waits in all
+    time_allowed: int  # tenths of a millisecond that the client waits in all
     repeat: bool
-    key: str | None  # the same for all tries of one deduplicated lookup
+    dedup_key: str | None  # the same for all tries of one deduplicated lookup
     object: str
     part: int
     group: int
     size: float  # KB, 0 where not told
-    seen: str | None  # the tag of the client's own copy
+    client_revision: str | None  # the tag of the client's own copy
     body: bytes
 
 
-def read_asked(arguments):
+def read_request(arguments):
     """The arguments of execute; Malformed names what is missing or makes no sense."""
-    given, body = arguments.get(1), arguments.get(2, b"")
-    if not isinstance(given, dict) or not isinstance(body, bytes):
+    raw_fields, body = arguments.get(1), arguments.get(2, b"")
+    if not isinstance(raw_fields, dict) or not isinstance(body, bytes):
         raise Malformed("execute takes a map of fields and a body")
-    if len(given) > MOST_FIELDS:
-        raise Malformed(f"{len(given)} fields in a call")
+    if len(raw_fields) > MAX_FIELDS:
+        raise Malformed(f"{len(raw_fields)} fields in a call")
     fields = {}
-    for name, value in given.items():
-        if not isinstance(name, bytes) or not isinstance(value, bytes) or len(value) > LONGEST_FIELD:
+    for name, value in raw_fields.items():
+        if not isinstance(name, bytes) or not isinstance(value, bytes) or len(value) > MAX_FIELD_BYTES:
             raise Malformed("a field that is no short text")
         try:
             fields[name.decode("ascii")] = value.decode("ascii")
         except UnicodeDecodeError:
             raise Malformed("a field that is no plain text") from None
-    asked = Asked(
-        trace=digits(fields, "ref", ID),
-        kind=named(fields, "service"),
-        allow=int(amount(fields, "allow", LONGEST_ALLOW) * UNITS_PER_MS),
+    request = LookupRequest(
+        trace=read_hex(fields, "ref", ID_DIGITS),
+        kind=read_required(fields, "service"),
+        time_allowed=int(read_amount(fields, "allow", MAX_TIME_ALLOWED_MS) * UNITS_PER_MS),
         repeat=fields.get("dup", "") not in ("", "0"),
-        key=mark(fields, "replay"),
-        object=digits(fields, "lookup", ID),
-        part=whole(fields, "part", MOST_PARTS - 1),
-        group=whole(fields, "group", MOST_GROUPS - 1),
-        size=amount(fields, "room", LARGEST) if "room" in fields else 0.0,
-        seen=mark(fields, "have"),
+        dedup_key=read_optional_hex(fields, "replay"),
+        object=read_hex(fields, "lookup", ID_DIGITS),
+        part=read_whole(fields, "part", PART_COUNT - 1),
+        group=read_whole(fields, "group", GROUP_COUNT - 1),
+        size=read_amount(fields, "room", MAX_SIZE_KB) if "room" in fields else 0.0,
+        client_revision=read_optional_hex(fields, "have"),
         body=body,
     )
-    if asked.allow <= 0:
+    if request.time_allowed <= 0:
         raise Malformed("allow leaves no time")
-    return asked
+    return request
 
 
-def named(fields, name):
+def read_required(fields, name):
     value = fields.get(name, "")
     if not value:
         raise Malformed(f"{name} is missing")
     return value
 
 
-def digits(fields, name, length):
+def read_hex(fields, name, length):
     """So many hex digits, which are passed on as they came."""
-    value = named(fields, name)
+    value = read_required(fields, name)
     if len(value) != length or not HEX.issuperset(value):
         raise Malformed(f"{name} is not of {length} hex digits")
     return value
 
 
-def mark(fields, name):
+def read_optional_hex(fields, name):
     """Hex digits of any length within reason, or None where there are none."""
     value = fields.get(name, "")
-    if len(value) > LONGEST_MARK or not HEX.issuperset(value):
+    if len(value) > MAX_HEX_DIGITS or not HEX.issuperset(value):
         raise Malformed(f"{name} is not of hex digits")
     return value or None
 
 
-def whole(fields, name, most):
+def read_whole(fields, name, maximum):
     """A whole number, as passed on: in plain digits, without what int() reads besides."""
     value = fields.get(name, "") or "0"
-    plain = DIGITS.issuperset(value) and len(value) <= len(str(most)) and value == str(int(value))
-    if not plain or int(value) > most:
-        raise Malformed(f"{name} is no whole number from 0 to {most}")
+    plain = DIGITS.issuperset(value) and len(value) <= len(str(maximum)) and value == str(int(value))
+    if not plain or int(value) > maximum:
+        raise Malformed(f"{name} is no whole number from 0 to {maximum}")
     return int(value)
 
 
-def amount(fields, name, most):
+def read_amount(fields, name, maximum):
     """A number in plain digits with at most one point: float() alone reads more than the protocol knows."""
-    value = named(fields, name)
-    if not DIGITS.issuperset(value.replace(".", "", 1)) or value == "." or not float(value) <= most:
-        raise Malformed(f"{name} is no number from 0 to {most}")
+    value = read_required(fields, name)
+    if not DIGITS.issuperset(value.replace(".", "", 1)) or value == "." or not float(value) <= maximum:
+        raise Malformed(f"{name} is no number from 0 to {maximum}")
     return float(value)
 
 
 # ---- answers, as pieces to be written one after another
 
 END = bytes((thrift.STOP,))
-GOOD = thrift.field(thrift.BOOL, 3) + b"\x01"
-NOT_GOOD = thrift.field(thrift.BOOL, 3) + b"\x00"
-BODY = thrift.field(thrift.STRUCT, 0) + thrift.field(thrift.STRING, 1)
-FIELDS = thrift.field(thrift.MAP, 2)
-NO_FIELDS = FIELDS + thrift.fields_of({})
-EMPTY = BODY + thrift.string(b"")
+RESULT_TRUE = thrift.field(thrift.BOOL, 3) + b"\x01"
+RESULT_FALSE = thrift.field(thrift.BOOL, 3) + b"\x00"
+BODY_HEADER = thrift.field(thrift.STRUCT, 0) + thrift.field(thrift.STRING, 1)
+FIELDS_HEADER = thrift.field(thrift.MAP, 2)
+NO_FIELDS = FIELDS_HEADER + thrift.fields_of({})
+EMPTY_BODY = BODY_HEADER + thrift.string(b"")
 
 
 def satisfied(name, seqid, pieces, length):
     return thrift.message(
-        thrift.REPLY, name, seqid, BODY + thrift.INT_AT.pack(length), *pieces, NO_FIELDS + GOOD + END + END
+        thrift.REPLY,
+        name,
+        seqid,
+        BODY_HEADER + thrift.INT_AT.pack(length),
+        *pieces,
+        NO_FIELDS + RESULT_TRUE + END + END,
     )
 
 
 def unchanged(name, seqid):
     return thrift.message(
-        thrift.REPLY, name, seqid, EMPTY + FIELDS + thrift.fields_of({"same": "1"}) + GOOD + END + END
+        thrift.REPLY,
+        name,
+        seqid,
+        EMPTY_BODY + FIELDS_HEADER + thrift.fields_of({"same": "1"}) + RESULT_TRUE + END + END,
     )
 
 
-def checked(name, seqid, good):
+def check_reply(name, seqid, ready):
     return thrift.message(
-        thrift.REPLY, name, seqid, EMPTY + NO_FIELDS + (GOOD if good else NOT_GOOD) + END + END
+        thrift.REPLY,
+        name,
+        seqid,
+        EMPTY_BODY + NO_FIELDS + (RESULT_TRUE if ready else RESULT_FALSE) + END + END,
     )
 
 
-def excepted(name, seqid, number, fields):
+def declared_exception(name, seqid, number, fields):
     """One of the exceptions that the service declares."""
     return thrift.message(
         thrift.REPLY,
@@ -150,10 +161,10 @@
     )
 
 
-def nacked(name, seqid, stay_away):
-    fields = {"cooldown": str(stay_away // UNITS_PER_MS)} if stay_away >= UNITS_PER_MS else {}
-    return excepted(name, seqid, 1, fields)
+def nacked(name, seqid, retry_after):
+    fields = {"cooldown": str(retry_after // UNITS_PER_MS)} if retry_after >= UNITS_PER_MS else {}
+    return declared_exception(name, seqid, 1, fields)
 
 
 def failed(name, seqid, text):
-    return excepted(name, seqid, 2, {"reason": text} if text else {})
+    return declared_exception(name, seqid, 2, {"reason": text} if text else {})
--- a/hookrouter/front/connections.py
+++ b/hookrouter/front/connections.py
@@ -13,12 +13,16 @@
 from . import calls
 from .connection import Connection
 
-HEARING = 2.0  # seconds for a first frame, or for the rest of one: no call is longer than some packets
-SOON = 0.1  # seconds of silence or idleness that are left to all: what was sent with the connection is here
-SPARE = 1 / 16  # of the descriptors, made free at a time where they run short
-LOOK = 0.1  # seconds between looks at who is silent or idle for too long
-LINGER = 0.5  # seconds for a client's end after ours: some ways there and back, while what crosses is dropped
-MOST_LINGERING = 1 / 4  # of the descriptors: beyond it the oldest are closed, whatever crosses
+FRAME_TIMEOUT = 2.0  # seconds for a first frame, or for the rest of one: no call is longer than some packets
+MIN_SILENCE = (
+    0.1  # seconds of silence or idleness that are left to all: what was sent with the connection is here
+)
+SHED_SHARE = 1 / 16  # of the descriptors, made free at a time where they run short
+SWEEP_INTERVAL = 0.1  # seconds between looks at who is silent or idle for too long
+LINGER_TIMEOUT = (
+    0.5  # seconds for a client's end after ours: some ways there and back, while what crosses is dropped
+)
+MAX_LINGERING_SHARE = 1 / 4  # of the descriptors: beyond it the oldest are closed, whatever crosses
 
 
 class Listener(tcp.Port):
@@ -45,14 +49,23 @@
 
     noisy = False
 
-    def __init__(self, desk, deadlines, room, most, half, idle_for, log, count):
-        self.desk, self.deadlines, self.room, self.idle_for = desk, deadlines, room, idle_for
+    def __init__(self, handler, deadlines, body_memory, limit, max_partial_bytes, idle_timeout, log, count):
+        self.handler, self.deadlines, self.body_memory, self.idle_timeout = (
+            handler,
+            deadlines,
+            body_memory,
+            idle_timeout,
+        )
         self.log, self.count = log, count
-        self.connections = Slots(most)
-        self.half, self.halves, self.half_held = half, {}, 0  # bytes of a half frame by connection, and all
+        self.connections = Slots(limit)
+        self.max_partial_bytes, self.partial_bytes, self.partial_bytes_total = (
+            max_partial_bytes,
+            {},
+            0,
+        )  # bytes of a half frame by connection, and all
         self.silent, self.idle = {}, {}  # connection -> since when, the longest first
         self.lingering = {}  # connection -> the deadline of its close, the longest first
-        self.look = self.port = None
+        self.sweep_timer = self.port = None
 
     def buildProtocol(self, address):
         return Connection(self)
@@ -65,123 +78,125 @@
     def full(self):
         return len(self.connections) >= self.connections.size
 
-    def joined(self, connection):
-        number = self.connections.take(connection)
-        self.count("clients_connected" if number is not None else "clients_turned_away")
-        if number is not None:
+    def register(self, connection):
+        slot = self.connections.take(connection)
+        self.count("clients_connected" if slot is not None else "clients_turned_away")
+        if slot is not None:
             self.silent[connection] = self.deadlines.clock.seconds()
-            if self.look is None:
-                self.look = self.deadlines.after(LOOK, self._look)
+            if self.sweep_timer is None:
+                self.sweep_timer = self.deadlines.after(SWEEP_INTERVAL, self._sweep)
         if self.full():
-            self._make_room()
-        return number
+            self._free_descriptors()
+        return slot
 
-    def parted(self, connection):
-        self.connections.give_back(connection.number)
+    def unregister(self, connection):
+        self.connections.give_back(connection.slot)
         self.deadlines.drop(self.lingering.pop(connection, None))
-        self.give_up(connection)
+        self.abandon(connection)
         if self.port is not None and self.port.connected:
             self.port.startReading()
 
-    def give_up(self, connection):
+    def abandon(self, connection):
         """Nothing more is awaited from it, nor owed to it."""
-        for seqid in list(connection.open):
+        for seqid in list(connection.open_calls):
             connection.close_call(seqid)
-            self.desk.left((connection.number, seqid))
-        self._half(connection, 0)
+            self.handler.on_client_gone((connection.slot, seqid))
+        self._set_partial(connection, 0)
         self.silent.pop(connection, None)
         self.idle.pop(connection, None)
 
-    def heard(self, connection, whole):
+    def on_data(self, connection, has_frames):
         """It sent something, and with that whole frames or none."""
         if connection.ending:
             return
-        left = len(connection.frames.buffer)
-        if left or connection in self.halves:
-            self._half(connection, left)
-        if whole or not left:
+        partial = len(connection.frames.buffer)
+        if partial or connection in self.partial_bytes:
+            self._set_partial(connection, partial)
+        if has_frames or not partial:
             self.silent.pop(connection, None)
-        if left:
+        if partial:
             self.silent.setdefault(connection, self.deadlines.clock.seconds())
-        if whole and not connection.open:
-            self.rests(connection)
-        while self.half_held > self.half:
-            self._cut(next(iter(self.halves)), "half frames fill their room")
+        if has_frames and not connection.open_calls:
+            self.mark_idle(connection)
+        while self.partial_bytes_total > self.max_partial_bytes:
+            self._shed(next(iter(self.partial_bytes)), "half frames fill their room")
 
-    def _half(self, connection, size):
-        self.half_held += size - self.halves.pop(connection, 0)
+    def _set_partial(self, connection, size):
+        self.partial_bytes_total += size - self.partial_bytes.pop(connection, 0)
         if size:
-            self.halves[connection] = size
+            self.partial_bytes[connection] = size
 
-    def rests(self, connection):
+    def mark_idle(self, connection):
         """No call is open on it from now on."""
         self.idle.pop(connection, None)
         if not connection.ending:
             self.idle[connection] = self.deadlines.clock.seconds()
 
-    def lingers(self, connection):
+    def start_linger(self, connection):
         """This side of it is shut down; what its client still sends is dropped."""
-        self.lingering[connection] = self.deadlines.after(LINGER, connection.transport.loseConnection)
-        if len(self.lingering) > max(1, self.connections.size * MOST_LINGERING):
+        self.lingering[connection] = self.deadlines.after(LINGER_TIMEOUT, connection.transport.loseConnection)
+        if len(self.lingering) > max(1, self.connections.size * MAX_LINGERING_SHARE):
             oldest = next(iter(self.lingering))
             self.deadlines.drop(self.lingering.pop(oldest))
             oldest.transport.loseConnection()
 
-    def catch_up(self, call):
+    def read_pending(self, call):
         """Takes in what lies unread on the connection of this call."""
         connection = self.connections.get(call[0])
         if connection is not None:
-            connection.catch_up()
+            connection.read_pending()
 
-    def _look(self):
+    def _sweep(self):
         now = self.deadlines.clock.seconds()
-        for connection in self._since(self.silent, now - HEARING):
-            self._cut(connection, "silent for too long")
-        for connection in self._since(self.idle, now - self.idle_for):
-            connection.end()
+        for connection in self._waiting_since(self.silent, now - FRAME_TIMEOUT):
+            self._shed(connection, "silent for too long")
+        for connection in self._waiting_since(self.idle, now - self.idle_timeout):
+            connection.close()
         if self.full():
-            self._make_room()
-        self.look = self.deadlines.after(LOOK, self._look) if len(self.connections) else None
+            self._free_descriptors()
+        self.sweep_timer = (
+            self.deadlines.after(SWEEP_INTERVAL, self._sweep) if len(self.connections) else None
+        )
 
-    def _since(self, waiting, moment, most=None):
+    def _waiting_since(self, waiting, moment, limit=None):
         """Those that wait since then or longer, also once what lies unread of theirs is taken in."""
         found = []
-        for connection, since in islice(waiting.items(), most):
+        for connection, since in islice(waiting.items(), limit):
             if since > moment:
                 break
             found.append((connection, since))
         for connection, _ in found:
-            connection.catch_up()
+            connection.read_pending()
         return [connection for connection, since in found if waiting.get(connection) == since]
 
-    def _make_room(self):
+    def _free_descriptors(self):
         """Some of the silent go first, then some of the idle; where all are busy, whoever comes waits."""
-        soon = self.deadlines.clock.seconds() - SOON
+        silent_since = self.deadlines.clock.seconds() - MIN_SILENCE
         # Those that linger give theirs back soon: nobody else is ended in their place.
-        several = max(0, max(1, int(self.connections.size * SPARE)) - len(self.lingering))
-        silent = self._since(self.silent, soon, several)
+        shed_count = max(0, max(1, int(self.connections.size * SHED_SHARE)) - len(self.lingering))
+        silent = self._waiting_since(self.silent, silent_since, shed_count)
         for connection in silent:
-            self._cut(connection, "descriptors for clients are short")
-        for connection in () if silent else self._since(self.idle, soon, several):
+            self._shed(connection, "descriptors for clients are short")
+        for connection in () if silent else self._waiting_since(self.idle, silent_since, shed_count):
             self.log("descriptors for clients are short, an idle connection ended")
             self.count("clients_shed")
-            connection.end()
+            connection.close()
         if self.port is not None:
             self.port.stopReading()
 
-    def _cut(self, connection, why):
-        self.log("client is silent, connection ended", why)
+    def _shed(self, connection, reason):
+        self.log("client is silent, connection ended", reason)
         self.count("clients_shed")
-        connection.cut()
+        connection.abort()
 
     # ---- answers
 
-    def _answer(self, call, pieces_of, *values):
-        number, seqid = call
-        connection = self.connections.get(number)
+    def _answer(self, call, encode, *values):
+        slot, seqid = call
+        connection = self.connections.get(slot)
         name = connection.close_call(seqid) if connection is not None else None
         if name is not None:
-            connection.write(pieces_of(name, seqid, *values))
+            connection.write(encode(name, seqid, *values))
 
     def satisfied(self, call, pieces, length):
         self._answer(call, calls.satisfied, pieces, length)
@@ -189,26 +204,26 @@
     def unchanged(self, call):
         self._answer(call, calls.unchanged)
 
-    def nacked(self, call, stay_away):
-        self._answer(call, calls.nacked, stay_away)
+    def nacked(self, call, retry_after):
+        self._answer(call, calls.nacked, retry_after)
 
     def failed(self, call, text=""):
         self._answer(call, calls.failed, text)
 
     # ---- the end
 
-    def end_idle(self):
+    def close_idle(self):
         """Ends the connections on which no call is open nor begun; one half come has its time to be heard."""
         for connection in self.connections.occupied():
-            if not connection.open:
-                connection.catch_up()
-            if not connection.open and connection not in self.halves:
-                connection.end()
+            if not connection.open_calls:
+                connection.read_pending()
+            if not connection.open_calls and connection not in self.partial_bytes:
+                connection.close()
 
-    def cut_off(self):
+    def abort_all(self):
         """All of them, now; those that linger have had all written and are closed in order."""
         for connection in self.connections.occupied():
             if connection in self.lingering:
                 connection.transport.loseConnection()
             else:
-                connection.cut()
+                connection.abort()
--- a/hookrouter/front/methods.py
+++ b/hookrouter/front/methods.py
@@ -4,12 +4,14 @@
 from ..parsers.thrift import Malformed
 from . import calls
 
-MOST_OPEN = 32  # calls on one connection, as the protocol has it
-MOST_UNREAD = 1 / 8  # of the room, of one client
-NACKED_UNREAD = MOST_UNREAD / 2  # its further calls are nacked: it would have to read their answers too
+MAX_OPEN_CALLS = 32  # calls on one connection, as the protocol has it
+MAX_UNREAD_SHARE = 1 / 8  # of the room, of one client
+NACK_UNREAD_SHARE = (
+    MAX_UNREAD_SHARE / 2
+)  # its further calls are nacked: it would have to read their answers too
 
 
-def act(connection, message):
+def dispatch(connection, message):
     kind, method = METHODS.get(message.name, (thrift.CALL, None))
     if message.kind != kind:
         raise Malformed(f"a message of kind {message.kind}")
@@ -18,52 +20,54 @@
         return
     try:
         arguments = message.arguments()
-    except Malformed as wrong:
-        refuse(connection, message, thrift.PROTOCOL_ERROR, str(wrong))
+    except Malformed as error:
+        refuse(connection, message, thrift.PROTOCOL_ERROR, str(error))
         return
     method(connection, message, arguments)
 
 
 def refuse(connection, message, code, text):
-    unusable(connection, text)
+    note_malformed(connection, text)
     connection.write(thrift.application_exception(message.name, message.seqid, code, text))
 
 
-def unusable(connection, text):
+def note_malformed(connection, text):
     connection.front.log("client made a call that cannot be used", text)
     connection.front.count("calls_malformed")
 
 
 def execute(connection, message, arguments):
-    if len(connection.open) >= MOST_OPEN:
-        raise Malformed(f"more than {MOST_OPEN} calls open")
+    if len(connection.open_calls) >= MAX_OPEN_CALLS:
+        raise Malformed(f"more than {MAX_OPEN_CALLS} calls open")
     try:
-        asked = calls.read_asked(arguments)
-    except Malformed as wrong:
-        unusable(connection, str(wrong))
-        connection.write(calls.failed(message.name, message.seqid, str(wrong)))
+        request = calls.read_request(arguments)
+    except Malformed as error:
+        note_malformed(connection, str(error))
+        connection.write(calls.failed(message.name, message.seqid, str(error)))
         return
     front = connection.front
-    if (asked.body and front.room.full()) or connection.unread > front.room.size * NACKED_UNREAD:
+    if (
+        request.body and front.body_memory.full()
+    ) or connection.unread_bytes > front.body_memory.size * NACK_UNREAD_SHARE:
         front.log("bodies of calls or unread answers fill their room, nacked")
         front.count("calls_without_room")
         connection.write(calls.nacked(message.name, message.seqid, 0))
         return
-    if not connection.open:
+    if not connection.open_calls:
         front.idle.pop(connection, None)
-    connection.open[message.seqid] = message.name, len(asked.body)
-    front.room.take(len(asked.body))
-    front.desk.taken((connection.number, message.seqid), asked)
+    connection.open_calls[message.seqid] = message.name, len(request.body)
+    front.body_memory.take(len(request.body))
+    front.handler.on_lookup((connection.slot, message.seqid), request)
 
 
 def interrupt(connection, message, arguments):
     seqid = arguments.get(1)
     if isinstance(seqid, int) and connection.close_call(seqid) is not None:
-        connection.front.desk.left((connection.number, seqid))
+        connection.front.handler.on_client_gone((connection.slot, seqid))
 
 
 def check(connection, message, arguments):
-    connection.write(calls.checked(message.name, message.seqid, connection.front.desk.ready()))
+    connection.write(calls.check_reply(message.name, message.seqid, connection.front.handler.ready()))
 
 
 METHODS = {
--- a/hookrouter/node/counters.py
+++ b/hookrouter/node/counters.py
@@ -2,8 +2,13 @@
 
 from .. import interface
 
-ENDS = ("satisfied", "nacked", "failed", "given_up")  # of a lookup; with those held they make up the taken
-SENDS = (
+LOOKUP_OUTCOMES = (
+    "satisfied",
+    "nacked",
+    "failed",
+    "given_up",
+)  # of a lookup; with those held they make up the taken
+SEND_OUTCOMES = (
     interface.SATISFIED,
     interface.ERRED,
     interface.FULL,
@@ -14,8 +19,16 @@
     interface.VOID,
     interface.MISSING,
 )
-WHYS = ("fenced", "fills", "time", "sends", "caches", "effect", "kind")  # why the module gave lookups up
-PLAIN = (
+GIVE_UP_REASONS = (
+    "fenced",
+    "fills",
+    "time",
+    "sends",
+    "caches",
+    "effect",
+    "kind",
+)  # why the module gave lookups up
+PLAIN_COUNTERS = (
     "clients_connected",
     "clients_turned_away",
     "clients_malformed",
@@ -61,47 +74,49 @@
 
 class Counters:
     def __init__(self, kinds):
-        self.values = dict.fromkeys(PLAIN, 0)
-        self.values.update((f"sends_{end}", 0) for end in SENDS)
-        self.values.update((f"given_up_for_{why}", 0) for why in WHYS)
-        self.values.update((f"lookups_{word}.{kind}", 0) for kind in kinds for word in ("taken", *ENDS))
+        self.values = dict.fromkeys(PLAIN_COUNTERS, 0)
+        self.values.update((f"sends_{outcome}", 0) for outcome in SEND_OUTCOMES)
+        self.values.update((f"given_up_for_{reason}", 0) for reason in GIVE_UP_REASONS)
+        self.values.update(
+            (f"lookups_{event}.{kind}", 0) for kind in kinds for event in ("taken", *LOOKUP_OUTCOMES)
+        )
 
     def count(self, name):
         self.values[name] += 1
 
-    def taken(self, kind):
+    def lookup_taken(self, kind):
         self.count(f"lookups_taken.{kind}")
 
-    def ended(self, kind, end):
-        self.count(f"lookups_{end}.{kind}")
+    def lookup_ended(self, kind, outcome):
+        self.count(f"lookups_{outcome}.{kind}")
 
-    def given_up(self, why):
-        if why in WHYS:
-            self.count(f"given_up_for_{why}")
+    def lookup_given_up(self, reason):
+        if reason in GIVE_UP_REASONS:
+            self.count(f"given_up_for_{reason}")
 
-    def send_ended(self, end):
-        self.count(f"sends_{end}")
+    def send_ended(self, outcome):
+        self.count(f"sends_{outcome}")
 
-    def lines(self, held):
+    def lines(self, gauge_values):
         """One a counter, then one for each thing held now."""
-        return [f"{name} {value}" for name, value in (*sorted(self.values.items()), *held.items())]
+        return [f"{name} {value}" for name, value in (*sorted(self.values.items()), *gauge_values.items())]
 
 
-def held(router):
+def gauges(router):
     """What is taken and not given back yet."""
     return {
-        "sends_out": sum(len(lookup.running) for lookup in router.lookups.occupied()),
+        "sends_out": sum(len(lookup.active_sends) for lookup in router.lookups.occupied()),
         "sends_believed_out": len(router.control.pending_sends),
         "caches_set_aside": sum(trickle is not None for trickle in router.control.health.trickle),
-        "caches_listed": len(router.caches.places),
+        "caches_listed": len(router.caches.endpoints),
         "lookups_held": len(router.by_call),
         "clients_held": len(router.front.connections),
         "connections_held": len(router.caches.connections),
         "sends_waiting": len(router.caches.waiting),
         "deadlines_held": len(router.deadlines),
-        "body_bytes_held": router.front.room.used_bytes + router.caches.room.used_bytes,
-        "half_frame_bytes_held": router.front.half_held,
-        **(router.purges.held() if router.purges is not None else {}),
+        "body_bytes_held": router.front.body_memory.used_bytes + router.caches.body_memory.used_bytes,
+        "half_frame_bytes_held": router.front.partial_bytes_total,
+        **(router.purges.gauges() if router.purges is not None else {}),
         "copies_held": len(router.copies),
         "copy_bytes_held": router.control.copies.kept.bytes,
     }
--- a/hookrouter/node/effects.py
+++ b/hookrouter/node/effects.py
@@ -3,13 +3,13 @@
 from functools import partial
 
 from .. import interface
-from ..caches import Errand
+from ..caches import CacheRequest
 
 
-def owed(router, effect):
+def unanswered_lookup(router, effect):
     """The effect's lookup where it still lacks its answer."""
     lookup = router.lookups.get(effect.id)
-    return None if lookup is None or lookup.ended else lookup
+    return None if lookup is None or lookup.answered else lookup
 
 
 def ask(router, effect):
@@ -21,108 +21,112 @@
         router,
         effect,
         source=effect.source,
-        rank=effect.priority,
-        age=effect.max_age,
-        join=effect.join_fill,
-        held_only=effect.hits_only,
-        unkept=effect.no_store,
-        renew=effect.revalidate,
+        priority=effect.priority,
+        max_age=effect.max_age,
+        join_fill=effect.join_fill,
+        hits_only=effect.hits_only,
+        no_store=effect.no_store,
+        revalidate=effect.revalidate,
     )
 
 
-def send(router, effect, **ways):
-    lookup = owed(router, effect)
+def send(router, effect, **options):
+    lookup = unanswered_lookup(router, effect)
     if lookup is None:
         return  # only a fault of the module brings this here; nothing goes out after the answer
-    asked, n = lookup.asked, lookup.sends
-    lookup.sends += 1
-    errand = Errand(
-        asked.kind,
-        asked.trace,
-        asked.object,
-        asked.part,
-        asked.key,
-        asked.seen,
-        asked.body,
+    request, send_number = lookup.request, lookup.send_count
+    lookup.send_count += 1
+    cache_request = CacheRequest(
+        request.kind,
+        request.trace,
+        request.object,
+        request.part,
+        request.dedup_key,
+        request.client_revision,
+        request.body,
         effect.timeout,
-        once=router.kinds[asked.kind].idempotency != interface.IDEMPOTENT,
-        **ways,
+        not_repeatable=router.kinds[request.kind].idempotency != interface.IDEMPOTENT,
+        **options,
     )
-    began, source = router.now(), ways.get("source")
-    if router.tally is not None:
-        router.tally.sent(effect.cache, source)
-    if router.heed is not None:
-        router.heed.sent(effect.cache, asked.size)
-    lookup.running[n] = None  # it is held from here on: its client may be found to have gone on the way
-    out = lookup.running[n] = router.caches.send(
+    started_at, source = router.now(), options.get("source")
+    if router.cache_loads is not None:
+        router.cache_loads.send_started(effect.cache, source)
+    if router.warming_observer is not None:
+        router.warming_observer.on_send(effect.cache, request.size)
+    lookup.active_sends[send_number] = (
+        None  # it is held from here on: its client may be found to have gone on the way
+    )
+    active_send = lookup.active_sends[send_number] = router.caches.send(
         effect.cache,
-        errand,
-        router.until(effect.timeout),
-        router.until(effect.start_within),
-        partial(router.wanted, lookup),
+        cache_request,
+        router.seconds_until(effect.timeout),
+        router.seconds_until(effect.start_within),
+        partial(router.is_wanted, lookup),
+    )
+    active_send.deferred.addCallback(
+        on_send_ended, router, lookup, send_number, effect.cache, source, started_at
     )
-    out.deferred.addCallback(sent, router, lookup, n, effect.cache, source, began)
-
-
-def sent(ended, router, lookup, n, cache, source, began):
-    del lookup.running[n]
-    if router.tally is not None:
-        router.tally.ended(cache, source, ended.end, router.now() - began)
-    if router.heed is not None:
-        router.heed.answered(ended.end, lookup.asked, router.now() - began)
-    if router.purges is not None and ended.end == interface.SATISFIED:
-        ended = router.purges.checked(ended, lookup.asked, began)
-    router.counters.send_ended(ended.end)
-    if ended.end == interface.SATISFIED and not lookup.ended:
-        if ended.unchanged:
+
+
+def on_send_ended(result, router, lookup, send_number, cache, source, started_at):
+    del lookup.active_sends[send_number]
+    if router.cache_loads is not None:
+        router.cache_loads.send_ended(cache, source, result.outcome, router.now() - started_at)
+    if router.warming_observer is not None:
+        router.warming_observer.on_result(result.outcome, lookup.request, router.now() - started_at)
+    if router.purges is not None and result.outcome == interface.SATISFIED:
+        result = router.purges.judge_result(result, lookup.request, started_at)
+    router.counters.send_ended(result.outcome)
+    if result.outcome == interface.SATISFIED and not lookup.answered:
+        if result.not_modified:
             router.answer(lookup, "satisfied", router.front.unchanged)
         else:
-            router.answer(lookup, "satisfied", router.front.satisfied, ended.pieces, ended.length)
+            router.answer(lookup, "satisfied", router.front.satisfied, result.pieces, result.length)
     else:
-        router.let_go(lookup)
+        router.release(lookup)
     copy = None
-    if ended.made is not None and ended.end == interface.SATISFIED:
-        copy = ended.made, ended.length
-        router.brought[lookup.number, n] = lookup.asked, ended
-    router.tell(
+    if result.storable_issued_at is not None and result.outcome == interface.SATISFIED:
+        copy = result.storable_issued_at, result.length
+        router.storable_results[lookup.number, send_number] = lookup.request, result
+    router.handle_event(
         interface.SendEnd(
             lookup.number,
-            n,
-            ended.end,
-            ended.note,
-            lookup.ended,
-            router.now() - began,
+            send_number,
+            result.outcome,
+            result.copy_status,
+            lookup.answered,
+            router.now() - started_at,
             cache,
-            ended.report,
+            result.report,
             copy,
         )
     )
-    router.withdraw(lookup)
+    router.cancel_unwritten_sends(lookup)
 
 
-def settle(router, lookup, end, answer, *values):
+def answer_and_cancel(router, lookup, end, answer, *values):
     """The final answer from here, and what is not written is taken back."""
     router.answer(lookup, end, answer, *values)
-    router.withdraw(lookup)
+    router.cancel_unwritten_sends(lookup)
 
 
 def nack(router, effect):
-    lookup = owed(router, effect)
+    lookup = unanswered_lookup(router, effect)
     if lookup is not None:
-        router.counters.given_up(effect.reason)
-        settle(router, lookup, "nacked", router.front.nacked, effect.retry_after)
+        router.counters.lookup_given_up(effect.reason)
+        answer_and_cancel(router, lookup, "nacked", router.front.nacked, effect.retry_after)
 
 
 def fail(router, effect):
-    lookup = owed(router, effect)
+    lookup = unanswered_lookup(router, effect)
     if lookup is not None:
-        router.counters.given_up(effect.reason)
-        settle(router, lookup, "failed", router.front.failed)
+        router.counters.lookup_given_up(effect.reason)
+        answer_and_cancel(router, lookup, "failed", router.front.failed)
 
 
 def keep(router, effect):
-    asked, ended = router.brought[effect.id, effect.send]
-    router.copies[asked.kind, asked.object, asked.part] = ended.tag, ended.pieces, ended.length
+    request, result = router.storable_results[effect.id, effect.send]
+    router.copies[request.kind, request.object, request.part] = result.revision, result.pieces, result.length
 
 
 def drop(router, effect):
@@ -130,43 +134,45 @@
 
 
 def give(router, effect):
-    lookup = owed(router, effect)
+    lookup = unanswered_lookup(router, effect)
     if lookup is None:
         return
     router.count("copies_given")
-    asked = lookup.asked
-    tag, pieces, length = router.copies[asked.kind, asked.object, asked.part]
-    if asked.seen == tag:
-        settle(router, lookup, "satisfied", router.front.unchanged)
+    request = lookup.request
+    revision, pieces, length = router.copies[request.kind, request.object, request.part]
+    if request.client_revision == revision:
+        answer_and_cancel(router, lookup, "satisfied", router.front.unchanged)
     else:
-        settle(router, lookup, "satisfied", router.front.satisfied, pieces, length)
+        answer_and_cancel(router, lookup, "satisfied", router.front.satisfied, pieces, length)
 
 
 def cancel(router, effect):
     lookup = router.lookups.get(effect.id)
-    if lookup is not None and effect.send in lookup.running:
-        lookup.running[effect.send].give_up()
+    if lookup is not None and effect.send in lookup.active_sends:
+        lookup.active_sends[effect.send].cancel()
 
 
 def set_alarm(router, effect):
-    router.deadlines.after(router.until(effect.delay), router.tell, interface.Alarm(effect.token))
+    router.deadlines.after(
+        router.seconds_until(effect.delay), router.handle_event, interface.Alarm(effect.token)
+    )
 
 
 def subscribe(router, effect):
     """The feed is always followed; what was missed has come or comes by it."""
-    router.tell(interface.CacheList(interface.CHANGES, ()))
+    router.handle_event(interface.CacheList(interface.CHANGES, ()))
 
 
 def probe(router, effect):
-    began = router.now()
+    started_at = router.now()
     router.caches.probe(effect.cache).deferred.addCallback(
-        lambda ended: router.tell(
-            interface.ProbeEnd(ended.end, effect.cache, router.now() - began, ended.report)
+        lambda result: router.handle_event(
+            interface.ProbeEnd(result.outcome, effect.cache, router.now() - started_at, result.report)
         )
     )
 
 
-def no_way(router, effect):
+def unsupported(router, effect):
     router.log("the module wants what this protocol has no way for", type(effect).__name__)
 
 
@@ -186,6 +192,6 @@
     interface.SetAlarm: set_alarm,
     interface.Subscribe: subscribe,
     interface.Probe: probe,
-    interface.Tell: no_way,
+    interface.Tell: unsupported,
     interface.Log: log,
 }
--- a/hookrouter/node/purging.py
+++ b/hookrouter/node/purging.py
@@ -16,15 +16,17 @@
 from ..purges.tags import Listed, read_tags
 from ..site import follows, purge_terms
 
-SLICE = 0.005  # seconds of purges taken in at a time: a snapshot of all takes seconds, lookups must not wait
+MAX_STEP_DURATION = (
+    0.005  # seconds of purges taken in at a time: a snapshot of all takes seconds, lookups must not wait
+)
 
 
-def purge_feed(reactor, deadlines, desk, purges, name, log, count, paced, wall=time, steady=boot_time):
+def purge_feed(reactor, deadlines, handler, purges, name, log, count, paced, wall=time, steady=boot_time):
     """A router's feed of purges as [purges] has it, not started. desk: see PurgeFeed, and left() where it is
     paced, that is with [admission].
     """
     feed = PurgeFeed(
-        reactor, deadlines, desk, follows(purges), purges, name, log, count, wall=wall, steady=steady
+        reactor, deadlines, handler, follows(purges), purges, name, log, count, wall=wall, steady=steady
     )
     if paced:
         feed.pace()
@@ -32,21 +34,21 @@
 
 
 class Purging:
-    def __init__(self, start, reactor, deadlines, router, log, count, steady, watch=perf_counter):
+    def __init__(self, start, reactor, deadlines, router, log, count, steady, stopwatch=perf_counter):
         """steady: see Router; None: the machine's. watch: seconds, for how long a slice has lasted."""
         purges = start.purges
-        self.deadlines, self.watch = deadlines, watch
+        self.deadlines, self.stopwatch = deadlines, stopwatch
         # Purges told that the guard does not know yet; bounded by the desk's most live.
         self.backlog = deque()
         self.steady = steady or boot_time
         self.router, self.log, self.count = router, log, count
-        self.judged = frozenset(
+        self.guarded_kinds = frozenset(
             kind.name
             for kind in start.terms.kinds
             if kind.idempotency == interface.IDEMPOTENT and not kind.write
         )
         tags = None if start.tags is None else Listed(start.tags)
-        self.guard = Guard(purge_terms(purges), tags, self.judged)
+        self.guard = Guard(purge_terms(purges), tags, self.guarded_kinds)
         self.feed = purge_feed(
             reactor,
             deadlines,
@@ -59,36 +61,36 @@
             wall=router.wall,
             steady=self.steady,
         )
-        self.state = self.guard.state()
+        self.lease_state = self.guard.state()
 
-    def left(self):
+    def lease_left(self):
         """Of the lease, for who paces those that come back."""
         self.guard.at(self.steady())
         return self.guard.left()
 
     # ---- told by the feed
 
-    def heard(self, epoch):
+    def on_epoch(self, epoch):
         """The feed keeps the epoch."""
 
-    def purged(self, purges):
-        idle = not self.backlog
+    def on_purges(self, purges):
+        was_empty = not self.backlog
         self.backlog.extend(purges)
-        if idle:
-            self._take_in()
+        if was_empty:
+            self._apply_backlog()
 
-    def _take_in(self):
-        now, until = self.router.now(), self.watch() + SLICE
+    def _apply_backlog(self):
+        now, step_end = self.router.now(), self.stopwatch() + MAX_STEP_DURATION
         while self.backlog:
-            if self.watch() > until:
-                self.deadlines.after(0, self._take_in)
+            if self.stopwatch() > step_end:
+                self.deadlines.after(0, self._apply_backlog)
                 return
             self.count("purges_told")
             purge = self.backlog.popleft()
             if self.guard.told(now, purge) is Kept.EVERY_NAME:
                 self.count("purges_of_every_name")
-            if self.router.heed is not None:
-                self.router.heed.told(purge)
+            if self.router.warming_observer is not None:
+                self.router.warming_observer.on_fleet_purge(purge)
         self.feed.renew_soon()
 
     def adopt(self, state):
@@ -98,10 +100,10 @@
         return done
 
     def _merge(self, steps, done):
-        until = self.watch() + SLICE
+        step_end = self.stopwatch() + MAX_STEP_DURATION
         try:
             for _ in steps:
-                if self.watch() > until:
+                if self.stopwatch() > step_end:
                     self.deadlines.after(0, self._merge, steps, done)
                     return
         except Exception:  # it is fetched and tried again: without it there is no lease
@@ -110,27 +112,27 @@
         self.count("slices_taken")
         done.callback(None)
 
-    def whole(self, purges, newest):
-        self.purged(purges)  # what was live here stays: it only makes bounds stricter
+    def on_snapshot(self, purges, newest):
+        self.on_purges(purges)  # what was live here stays: it only makes bounds stricter
 
-    def granted(self, asked, wall, span, desk):
+    def on_grant(self, request, wall, duration, handler):
         now = self.router.now()
-        self.guard.clock(wall, now, desk)
-        self.guard.granted(asked, span)
-        self.look()
+        self.guard.clock(wall, now, handler)
+        self.guard.granted(request, duration)
+        self.check_lease()
 
-    def place(self, n):
+    def acknowledged(self, n):
         """Nothing is answered for while some of it is not taken in."""
         return (-1, -1) if self.backlog else (n, n)
 
     # ---- asked by the router
 
-    def look(self):
+    def check_lease(self):
         """Before each decision and answer: a process that was paused learns here that its lease is over."""
         self.guard.at(self.steady())
         state = self.guard.state()
-        if state != self.state:
-            before, self.state = self.state, state
+        if state != self.lease_state:
+            before, self.lease_state = self.lease_state, state
             self.log(
                 "purges: lease held" if state == CURRENT else "purges: without a lease, fenced",
                 level="info" if state == CURRENT else "warn",
@@ -138,26 +140,26 @@
                 now=state,
             )
 
-    def checked(self, ended, asked, began):
+    def judge_result(self, result, request, started_at):
         """The end as it counts: a copy that a purge has made old is as good as none.
 
         Only of kinds that may run again: that the others ran is true whatever the age of what came.
         """
-        if asked.kind not in self.judged:
-            return ended
+        if request.kind not in self.guarded_kinds:
+            return result
         now = self.router.now()
-        tags = None if ended.tags is None else read_tags(ended.tags)
+        tags = None if result.tags is None else read_tags(result.tags)
         if self.guard.shut() or self.guard.judge(
-            now, began, asked.kind, asked.object, asked.group, ended.since, tags
+            now, started_at, request.kind, request.object, request.group, result.issued_at, tags
         ):
             self.count("copies_refused")
-            return ended._replace(end=interface.MISSING, pieces=(), length=0, made=None)
-        return ended
+            return result._replace(outcome=interface.MISSING, pieces=(), length=0, storable_issued_at=None)
+        return result
 
-    def held(self):
+    def gauges(self):
         return {
             "purges_live": len(self.guard.index),
             "purges_sealed": self.guard.index.sealed_keys(),
-            "purges_fenced": int(self.state != CURRENT),
+            "purges_fenced": int(self.lease_state != CURRENT),
             "tags_held": len(self.guard.tags.rows),
         }
--- a/hookrouter/node/router.py
+++ b/hookrouter/node/router.py
@@ -6,40 +6,46 @@
 from math import inf
 
 from .. import interface
-from ..caches import Caches
+from ..caches import CachePool
 from ..control import Control
 from ..control.lookups import DUE
 from ..feed import Feed
-from ..feed.events import Listed
+from ..feed.events import CacheListEvent
 from ..front import Front
 from ..tables.body_memory import BodyMemory
 from ..tables.deadlines import Deadlines
 from ..tables.slots import Slots
 from ..terms import SECOND
-from .counters import held
+from .counters import gauges
 from .effects import EFFECTS
-from .start import room_left
+from .start import available_memory
 
-BODIES = 0.25  # of what the program leaves, for bodies from caches; what is not shared out is for garbage
-CALLS = 0.125  # of that, for bodies from clients and what they have not read: neither starves the other
-HALVES = 0.0625  # of that, for half frames
-RESERVED = 24  # descriptors: standard three, the reactor's own, listener, feed, and some that are closing
+CACHE_BODY_SHARE = (
+    0.25  # of what the program leaves, for bodies from caches; what is not shared out is for garbage
+)
+CLIENT_BODY_SHARE = (
+    0.125  # of that, for bodies from clients and what they have not read: neither starves the other
+)
+PARTIAL_FRAME_SHARE = 0.0625  # of that, for half frames
+RESERVED_DESCRIPTORS = (
+    24  # descriptors: standard three, the reactor's own, listener, feed, and some that are closing
+)
 
 
 class Lookup:
     """One that is held, or whose sends still run."""
 
-    __slots__ = ("number", "call", "asked", "due", "sends", "running", "ended")
+    __slots__ = ("number", "call", "request", "deadline", "send_count", "active_sends", "answered")
 
-    def __init__(self, call, asked, due):
-        self.call, self.asked, self.due = call, asked, due
-        self.number, self.sends, self.running, self.ended = None, 0, {}, False
+    def __init__(self, call, request, deadline):
+        self.call, self.request, self.deadline = call, request, deadline
+        self.number, self.send_count, self.active_sends, self.answered = None, 0, {}, False
 
 
 class Router:
-    def __init__(self, start, reactor, log, counters, wall=time.time, steady=None, told=None):
+    def __init__(self, start, reactor, log, counters, wall=time.time, steady=None, fleet_view=None):
         """steady: a clock that no one sets, tenths of a millisecond, for leases; None: the machine's.
-        told: what other routers of the fleet say, asked by the module; None: it decides alone.
+        fleet_view: loads reported by other routers, queried by the decisions; None: decides alone.
         """
         self.log, self.counters, self.wall = log, counters, wall
         self.count = counters.count
@@ -47,65 +53,71 @@
         self.kinds = {kind.name: kind for kind in terms.kinds}
         self.lookups = Slots(max(1, terms.max_pending_lookups))
         self.by_call = {}  # call of the front -> number
-        self.latest = self.decided = 0
-        self.brought = {}  # lookup's number, send -> (what was asked, how it ended), while that is decided on
+        self.latest_time = self.decision_time = 0
+        self.storable_results = {}  # (lookup number, send number) -> (request, result) while being decided
         self.copies = {}  # kind, object, part -> (tag, pieces, length)
         self.deadlines = Deadlines(reactor)
         self.inputs, self.deciding = deque(), False
-        self.traces = set()  # ids that clients gave, of lookups that are open or sent
-        clients = start.sockets // 3
-        left = room_left(start.memory)
-        room, asked = (
-            BodyMemory(int(left * BODIES), self._filled),
-            BodyMemory(int(left * CALLS), self._filled),
+        self.open_trace_ids = set()  # ids that clients gave, of lookups that are open or sent
+        max_clients = start.sockets // 3
+        available_bytes = available_memory(start.memory)
+        cache_bodies, client_bodies = (
+            BodyMemory(int(available_bytes * CACHE_BODY_SHARE), self._on_memory_full),
+            BodyMemory(int(available_bytes * CLIENT_BODY_SHARE), self._on_memory_full),
         )
         self.front = Front(
             self,
             self.deadlines,
-            asked,
-            clients,
-            int(left * HALVES),
+            client_bodies,
+            max_clients,
+            int(available_bytes * PARTIAL_FRAME_SHARE),
             terms.idle_timeout / SECOND,
             log,
             self.count,
         )
-        self.caches = Caches(
-            reactor, self.deadlines, room, start.sockets - clients - RESERVED, terms, log, self.count
+        self.caches = CachePool(
+            reactor,
+            self.deadlines,
+            cache_bodies,
+            start.sockets - max_clients - RESERVED_DESCRIPTORS,
+            terms,
+            log,
+            self.count,
         )
-        self.feed = Feed(reactor, self.deadlines, self, start.feed, start.last, log, self.count)
-        self.listed_once = self.stopping = False
-        self.due_by = inf  # what comes at the end is due before the process may be killed
+        self.feed = Feed(reactor, self.deadlines, self, start.feed, start.last_event, log, self.count)
+        self.has_cache_list = self.stopping = False
+        self.final_deadline = inf  # what comes at the end is due before the process may be killed
         self.guard = self.purges = None
         if start.purges is not None:  # imported only then
             from .purging import Purging
 
             self.purges = Purging(start, reactor, self.deadlines, self, log, self.count, steady)
             self.guard = self.purges.guard
-        self.control = Control(start.seed, terms, self.guard, told)
-        self.heed = None  # of what is asked, where this router takes part in warming
-        self.tally = None  # of sends by cache, where this router tells its fleet
-        self.waits = False  # for what neighbours lend: until then it says that it is not ready
+        self.control = Control(start.seed, terms, self.guard, fleet_view)
+        self.warming_observer = None  # of what is asked, where this router takes part in warming
+        self.cache_loads = None  # of sends by cache, where this router tells its fleet
+        self.waiting_for_neighbours = False  # not ready until neighbours have sent their state
         self.trace = None
         if start.trace is not None:  # imported only then
             from .tracing import Tracing
 
             self.trace = Tracing(start, self.now(), self.guard is not None, self.deadlines, log, self.count)
         for event in start.known:
-            if isinstance(event, Listed):
-                self.listed(event)
+            if isinstance(event, CacheListEvent):
+                self.on_cache_list(event)
             else:
-                self.purged(event)
+                self.on_purge(event)
 
     # ---- the clock and the module
 
     def now(self):
         """Unix time in tenths of a millisecond; it never goes back."""
-        self.latest = max(self.latest, int(self.wall() * SECOND))
+        self.latest_time = max(self.latest_time, int(self.wall() * SECOND))
         if self.purges is not None:
-            self.purges.look()
-        return self.latest
+            self.purges.check_lease()
+        return self.latest_time
 
-    def tell(self, event):
+    def handle_event(self, event):
         """One input to the module, after those that wait; what it says is carried out at once."""
         self.inputs.append(event)
         if self.deciding:
@@ -118,159 +130,163 @@
             self.deciding = False
 
     def _decide(self, event):
-        self.decided = self.now()
+        self.decision_time = self.now()
         try:
-            effects = self.control.decide(self.decided, [event])
+            effects = self.control.decide(self.decision_time, [event])
         except Exception:
             self.count("decisions_failed")
             self.log("decision code failed", traceback.format_exc())
             # What it had said before it failed counts; the lookups concerned are owed their answers.
-            concerned = self._concerned(event)
-            effects = [*self.control.effects, *map(interface.Fail, concerned)]
-            self.inputs.extend(map(interface.ClientGone, concerned))
+            affected = self._affected_lookups(event)
+            effects = [*self.control.effects, *map(interface.Fail, affected)]
+            self.inputs.extend(map(interface.ClientGone, affected))
         if self.trace is not None:
-            asked = self.lookups.get(event.id).asked if isinstance(event, interface.Lookup) else None
-            self.trace.decided(self.decided, event, effects, self.control, asked and asked.trace)
+            request = self.lookups.get(event.id).request if isinstance(event, interface.Lookup) else None
+            self.trace.record(self.decision_time, event, effects, self.control, request and request.trace)
         for effect in effects:
             EFFECTS[type(effect)](self, effect)
         if isinstance(event, interface.SendEnd):
-            self.brought.pop((event.id, event.send), None)
+            self.storable_results.pop((event.id, event.send), None)
 
-    def _concerned(self, event):
+    def _affected_lookups(self, event):
         """Those whom nobody will answer now: the event's own, or, with an alarm lost, all that are due."""
-        own = event.id if isinstance(event, (interface.Lookup, interface.SendEnd)) else None
+        own_number = event.id if isinstance(event, (interface.Lookup, interface.SendEnd)) else None
         return [
             lookup.number
             for lookup in self.lookups.occupied()
-            if not lookup.ended and (lookup.number == own or lookup.due <= self.latest)
+            if not lookup.answered and (lookup.number == own_number or lookup.deadline <= self.latest_time)
         ]
 
-    def until(self, span):
+    def seconds_until(self, span):
         """Seconds until that long after the decision: an alarm and a send for one moment end together."""
-        return max(0.0, (self.decided + span) / SECOND - self.wall())
+        return max(0.0, (self.decision_time + span) / SECOND - self.wall())
 
     # ---- from the front
 
     def ready(self):
-        return self.listed_once and not self.stopping and not self.waits
+        return self.has_cache_list and not self.stopping and not self.waiting_for_neighbours
 
-    def taken(self, call, asked):
-        kind = self.kinds.get(asked.kind)
+    def on_lookup(self, call, request):
+        kind = self.kinds.get(request.kind)
         if kind is None:
-            self.log("client asked for an unknown object kind, failed", asked.kind)
+            self.log("client asked for an unknown object kind, failed", request.kind)
             self.count("calls_of_unknown_kind")
             self.front.failed(call, "unknown kind")
             return
         if (
-            kind.idempotency == interface.DEDUPLICATED and asked.key is None
+            kind.idempotency == interface.DEDUPLICATED and request.dedup_key is None
         ):  # nobody would know a repeat by it
             self.log("client left out the key of a deduplicated lookup, failed")
             self.count("keys_missing")
             self.front.failed(call, "replay is missing")
             return
-        if asked.trace in self.traces:  # caches could not tell the sends of the two apart
-            self.log("client used the id of an open lookup, failed", asked.trace)
+        if request.trace in self.open_trace_ids:  # caches could not tell the sends of the two apart
+            self.log("client used the id of an open lookup, failed", request.trace)
             self.count("ids_used_twice")
             self.front.failed(call, "id is in use")
             return
-        lookup = Lookup(call, asked, min(self.due_by, self.now() + min(asked.allow, kind.deadline)))
-        self.counters.taken(asked.kind)
+        lookup = Lookup(
+            call, request, min(self.final_deadline, self.now() + min(request.time_allowed, kind.deadline))
+        )
+        self.counters.lookup_taken(request.kind)
         lookup.number = self.lookups.take(lookup)
         if lookup.number is None:  # the settings have such a lookup refused before it reaches the module
             self.log("more lookups than may be held, nacked")
             self.count("lookups_beyond_limit")
             self.answer(lookup, "nacked", self.front.nacked, 0)
             return
-        if self.heed is not None:
-            self.heed.asked(asked, self.latest)
+        if self.warming_observer is not None:
+            self.warming_observer.on_lookup(request, self.latest_time)
         self.by_call[call] = lookup.number
-        self.traces.add(asked.trace)
-        self.tell(
+        self.open_trace_ids.add(request.trace)
+        self.handle_event(
             interface.Lookup(
                 lookup.number,
-                asked.kind,
-                asked.object,
-                asked.part,
-                asked.group,
-                asked.size,
-                lookup.due,
-                asked.repeat,
+                request.kind,
+                request.object,
+                request.part,
+                request.group,
+                request.size,
+                lookup.deadline,
+                request.repeat,
             )
         )
 
-    def left(self, call):
+    def on_client_gone(self, call):
         """The client waits no more."""
         lookup = self.lookups.get(self.by_call[call])
         self._end(lookup, "given_up")
-        self.tell(interface.ClientGone(lookup.number))
-        self.withdraw(lookup)
+        self.handle_event(interface.ClientGone(lookup.number))
+        self.cancel_unwritten_sends(lookup)
 
-    def wanted(self, lookup):
+    def is_wanted(self, lookup):
         """Whether its client still waits, by all that has come from it: what lies unread is read first."""
-        if not lookup.ended:
-            self.front.catch_up(lookup.call)
-        return not lookup.ended
+        if not lookup.answered:
+            self.front.read_pending(lookup.call)
+        return not lookup.answered
 
-    def all_due(self):
+    def answer_all_now(self):
         """The end is near: what is held gets its answer now, whatever time its client would give it."""
         for token in self.control.alarm_tokens(DUE):
-            self.tell(interface.Alarm(token))
+            self.handle_event(interface.Alarm(token))
 
     # ---- from the feed
 
-    def listed(self, event):
-        if event.whole:
+    def on_cache_list(self, event):
+        if event.snapshot:
             self.caches.keep_only({cache.id for cache in event.caches})
         for cache, address in zip(event.caches, event.addresses):
             if cache.phase == interface.GONE:
-                self.caches.forget(cache.id)
+                self.caches.remove(cache.id)
             else:
-                self.caches.learn(cache.id, address, cache.born)
-        if self.tally is not None:
-            self.tally.list(event)
-        if self.heed is not None:
-            self.heed.listed(event, not self.listed_once)
-        mode = interface.WHOLE if event.whole else interface.CHANGES
-        self.tell(interface.CacheList(mode if self.listed_once else interface.REMEMBERED, event.caches))
-        self.listed_once = True
-
-    def purged(self, event):
-        if self.heed is not None:
-            self.heed.dropped_at(event, event.made)
-        self.tell(interface.Purged(max(0, self.now() - event.made), event.group, event.object))
+                self.caches.update(cache.id, address, cache.born)
+        if self.cache_loads is not None:
+            self.cache_loads.update_caches(event)
+        if self.warming_observer is not None:
+            self.warming_observer.on_cache_list(event, not self.has_cache_list)
+        mode = interface.WHOLE if event.snapshot else interface.CHANGES
+        self.handle_event(
+            interface.CacheList(mode if self.has_cache_list else interface.REMEMBERED, event.caches)
+        )
+        self.has_cache_list = True
+
+    def on_purge(self, event):
+        if self.warming_observer is not None:
+            self.warming_observer.on_platform_purge(event, event.purged_at)
+        self.handle_event(interface.Purged(max(0, self.now() - event.purged_at), event.group, event.object))
 
     def reload(self, start):
         """What can change while it runs: where the feed is, and events that it has not told yet."""
-        self.feed.catch_up(start.known)
+        self.feed.apply_known(start.known)
         self.feed.move(start.feed)
 
     # ---- lookups: taken above, given back here
 
-    def answer(self, lookup, end, answer, *values):
-        answer(lookup.call, *values)
-        self._end(lookup, end)
+    def answer(self, lookup, outcome, write_answer, *values):
+        write_answer(lookup.call, *values)
+        self._end(lookup, outcome)
 
-    def _end(self, lookup, end):
-        lookup.ended = True
+    def _end(self, lookup, outcome):
+        lookup.answered = True
         self.by_call.pop(lookup.call, None)
-        self.counters.ended(lookup.asked.kind, end)
-        self.let_go(lookup)
+        self.counters.lookup_ended(lookup.request.kind, outcome)
+        self.release(lookup)
 
-    def withdraw(self, lookup):
+    def cancel_unwritten_sends(self, lookup):
         """Sends of an ended lookup that are not written are no attempts yet: no leave to cancel is needed."""
-        for send in list(lookup.running.values()) if lookup.ended else ():
+        for send in list(lookup.active_sends.values()) if lookup.answered else ():
             if send is not None and not send.written:
-                send.give_up()
+                send.cancel()
 
-    def let_go(self, lookup):
+    def release(self, lookup):
         """Its slot is free once it is answered and none of its sends runs."""
-        if lookup.ended and not lookup.running and lookup.number is not None:
+        if lookup.answered and not lookup.active_sends and lookup.number is not None:
             self.lookups.give_back(lookup.number)
-            self.traces.remove(lookup.asked.trace)
+            self.open_trace_ids.remove(lookup.request.trace)
 
-    def held(self):
-        return held(self)
+    def gauges(self):
+        return gauges(self)
 
-    def _filled(self):
+    def _on_memory_full(self):
         self.log("bodies fill their room, no more is read until some are gone")
         self.count("room_filled")
--- /dev/null
+++ b/hookrouter/node/shared_state.py
@@ -0,0 +1,80 @@
+"""What a router tells its fleet of itself, and what it takes over from it at a start.
+
+Decides nothing: it copies rows out of the decisions' arrays and, at a start, into them.
+"""
+
+from ..decisions.sharing import soft
+from ..decisions.sharing import words as words
+from .cache_loads import CacheLoads
+
+NEIGHBOUR_WEIGHT = 0.5  # of what is told counts at a start, beside what stands here
+
+
+class SharedState:
+    """router: the node's Router; its tally and its readiness are set by this."""
+
+    def __init__(self, router):
+        self.router, self.control = router, router.control
+        self.cache_loads = router.cache_loads = CacheLoads()
+        self.health, self.times, self.cold = (
+            router.control.health,
+            router.control.times,
+            router.control.cold,
+        )
+
+    def loads(self, now):
+        return self.cache_loads.sample(now)
+
+    def listed(self):
+        """Whether the feed has told which caches there are: rows of others find no place here."""
+        return self.router.has_cache_list
+
+    def wait(self, waiting):
+        """Whether this router says that it is not ready yet."""
+        self.router.waiting_for_neighbours = waiting
+
+    def learnt(self):
+        """soft.Learnt: what is known here of caches and of answer times."""
+        control, now, soft_rows = self.control, self.router.now(), []
+        for name, row in control.row_by_id.items():
+            if name not in self.cache_loads.listed_caches or not control.last_answer_at[row]:
+                continue
+            duration, refused = self.cache_loads.answer_stats.get(name, (0.0, 0.0))
+            born = self.cold.born[row]
+            soft_rows.append(
+                words.Soft(
+                    name,
+                    min(1_000, self.health.strikes[row]),
+                    bool(self.cold.lost[row]),
+                    duration,
+                    min(1.0, refused),
+                    max(0, now - born) if born else -1,
+                    max(0, now - control.last_answer_at[row]),
+                )
+            )
+        kind_times = [
+            words.Times(
+                name, max(0.0, self.times.average[kind_index]), max(0.0, self.times.deviation[kind_index]), 0
+            )
+            for name, kind_index in control.kinds.items()
+        ]
+        return soft.Learnt(soft_rows[: soft.MOST_CACHES], kind_times[: soft.MOST_KINDS])
+
+    def adopt(self, lent_states):
+        """told: soft.Learnt of each neighbour that lent; number of rows taken over."""
+        merged, control = soft.adopted(lent_states), self.control
+        for cache, strikes in merged.strikes.items():
+            row = control.row_by_id.get(cache)
+            if row is not None:
+                self.health.strikes[row] = max(self.health.strikes[row], strikes)
+                self.cache_loads.answer_stats.setdefault(cache, [merged.took[cache], merged.refused[cache]])
+        for kind, (average, deviation) in merged.times.items():
+            kind_index = control.kinds.get(kind)
+            if kind_index is not None:
+                self.times.average[kind_index] += NEIGHBOUR_WEIGHT * (
+                    average - self.times.average[kind_index]
+                )
+                self.times.deviation[kind_index] += NEIGHBOUR_WEIGHT * (
+                    deviation - self.times.deviation[kind_index]
+                )
+        return len(merged.strikes) + len(merged.times)
--- a/hookrouter/node/signals.py
+++ b/hookrouter/node/signals.py
@@ -5,18 +5,18 @@
 
 import signal
 
-KEPT = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT, signal.SIGUSR1)
+HANDLED_SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT, signal.SIGUSR1)
 
 
 class Signals:
     def __init__(self):
-        self.early = []
-        self.call = self.early.append
-        for number in KEPT:
-            signal.signal(number, lambda number, _: self.call(number))
+        self.pending = []
+        self.handler = self.pending.append
+        for number in HANDLED_SIGNALS:
+            signal.signal(number, lambda number, _: self.handler(number))
 
-    def tell(self, call):
+    def on_signal(self, handler):
         """call(number) for each signal from here on, and at once for each that came before."""
-        self.call = call
-        while self.early:
-            call(self.early.pop(0))
+        self.handler = handler
+        while self.pending:
+            handler(self.pending.pop(0))
--- a/hookrouter/node/start.py
+++ b/hookrouter/node/start.py
@@ -9,14 +9,16 @@
 from ..terms import Malformed
 
 MEGABYTE = 1_000_000  # bytes, the smaller reading of the limit
-PROGRAM = 24  # MB that the program takes itself, before it holds anything
-LEAST = 2  # MB for all that it holds, however little the program leaves
-COPIES = 0.3  # of what the program leaves, for copies of its own; the shares of the rest are node/router.py's
+PROGRAM_MEGABYTES = 24  # MB that the program takes itself, before it holds anything
+MIN_MEGABYTES = 2  # MB for all that it holds, however little the program leaves
+OWN_COPY_SHARE = (
+    0.3  # of what the program leaves, for copies of its own; the shares of the rest are node/router.py's
+)
 
 
-def room_left(memory):
+def available_memory(memory):
     """Bytes for what the router holds."""
-    return max(LEAST, memory - PROGRAM) * MEGABYTE
+    return max(MIN_MEGABYTES, memory - PROGRAM_MEGABYTES) * MEGABYTE
 
 
 class Start(NamedTuple):
@@ -31,17 +33,17 @@
     paced: bool  # with [admission]: it comes back to whom it follows as it is told
     tags: dict | None  # object -> its tags, where these come from a file
     trace: dict | None  # the operator's section, where decisions are traced
-    last: int  # number of the newest known event
+    last_event: int  # number of the newest known event
     known: list
 
 
-def seed(value, what):
+def read_seed(value, key):
     if type(value) not in (str, int):
-        raise Malformed(f"{what}: text or a whole number is wanted, not {terms.excerpt(value)}")
+        raise Malformed(f"{key}: text or a whole number is wanted, not {terms.excerpt(value)}")
     return value
 
 
-def read_purges(purges, kinds, opened):
+def read_purges(purges, kinds, open_file):
     """(section, tags by object or None): what the two files say together, or Malformed."""
     for kind in kinds:
         if kind.fresh_duration + kind.stale_grace > purges["hold"]:
@@ -54,62 +56,62 @@
     from ..purges.tags import read_list
 
     try:
-        with opened(purges["tag file"], encoding="utf-8") as file:
+        with open_file(purges["tag file"], encoding="utf-8") as file:
             return purges, read_list(file)
-    except (OSError, ValueError) as wrong:
-        raise Malformed(f"[purges] tag file: {wrong}") from None
+    except (OSError, ValueError) as error:
+        raise Malformed(f"[purges] tag file: {error}") from None
 
 
-def read_start(environment, opened=open, sections=None):
+def read_start(environment, open_file=open, sections=None):
     """sections: of the operator's file. Malformed names the variable or key that cannot be used."""
     path = environment.get("EDGE_CONFIG")
     if not path:
         raise Malformed("EDGE_CONFIG is not set")
     try:
-        with opened(path, encoding="utf-8") as file:
-            stated = json.load(file)
-    except OSError as wrong:
-        raise Malformed(f"EDGE_CONFIG: {path}: {wrong.strerror}") from None
-    except (ValueError, RecursionError) as wrong:
-        raise Malformed(f"EDGE_CONFIG: {path}: {wrong}") from None
-    stated = terms.SettingsReader(stated, "config")
-    limits = stated.section("limits")
+        with open_file(path, encoding="utf-8") as file:
+            config = json.load(file)
+    except OSError as error:
+        raise Malformed(f"EDGE_CONFIG: {path}: {error.strerror}") from None
+    except (ValueError, RecursionError) as error:
+        raise Malformed(f"EDGE_CONFIG: {path}: {error}") from None
+    config = terms.SettingsReader(config, "config")
+    limits = config.section("limits")
     sockets = limits.get("sockets", terms.read_integer)
     if sockets < 64:
         raise Malformed(f"config.limits.sockets: {sockets} is too few, 64 at least")
-    memory, flow, link = (
+    memory, flow_rate, link_rate = (
         limits.get("memory_mb", terms.read_integer),
-        stated.get("flow_bytes_per_s", terms.read_number),
-        stated.get("link_bytes_per_s", terms.read_number),
+        config.get("flow_bytes_per_s", terms.read_number),
+        config.get("link_bytes_per_s", terms.read_number),
     )
-    if flow <= 0 or link <= 0:
+    if flow_rate <= 0 or link_rate <= 0:
         raise Malformed("config.flow_bytes_per_s and config.link_bytes_per_s must be above 0")
-    known = stated.get("known", terms.read_object)
-    last, events = read_known(known)
-    stated_terms = terms.read_terms(stated.get("settings", terms.read_object))
-    if sections and "fleet" in sections and not stated_terms.may_message_peers:
+    known = config.get("known", terms.read_object)
+    last_event, events = read_known(known)
+    deployment_terms = terms.read_terms(config.get("settings", terms.read_object))
+    if sections and "fleet" in sections and not deployment_terms.may_message_peers:
         raise Malformed("[fleet]: the platform's settings forbid talk among routers; take it out")
     purges, tags = None, None
     if sections and "purges" in sections:
-        purges, tags = read_purges(sections["purges"], stated_terms.kinds, opened)
+        purges, tags = read_purges(sections["purges"], deployment_terms.kinds, open_file)
     return Start(
-        name=environment.get("EDGE_NAME") or stated.get("name", terms.read_text),
+        name=environment.get("EDGE_NAME") or config.get("name", terms.read_text),
         listen=read_address(
-            environment.get("EDGE_LISTEN") or stated.get("listen", terms.read_text), "EDGE_LISTEN"
+            environment.get("EDGE_LISTEN") or config.get("listen", terms.read_text), "EDGE_LISTEN"
         ),
-        seed=stated.get("seed", seed),
+        seed=config.get("seed", read_seed),
         memory=memory,
         sockets=sockets,
-        feed=stated.get("feed", read_address),
-        terms=stated_terms._replace(
-            own_copy_bytes=int(COPIES * room_left(memory)),
-            own_concurrent_answers=link / flow,
-            own_answer_rate=flow / terms.SECOND,
+        feed=config.get("feed", read_address),
+        terms=deployment_terms._replace(
+            own_copy_bytes=int(OWN_COPY_SHARE * available_memory(memory)),
+            own_concurrent_answers=link_rate / flow_rate,
+            own_answer_rate=flow_rate / terms.SECOND,
         ),
         purges=purges,
         paced="admission" in (sections or {}),
         tags=tags,
         trace=(sections or {}).get("trace"),
-        last=last,
+        last_event=last_event,
         known=events,
     )
--- a/hookrouter/node/tracing.py
+++ b/hookrouter/node/tracing.py
@@ -3,47 +3,49 @@
 from ..stores.trace_log import TraceLog
 from ..trace.rows import Recorder, header_of
 
-BLOCK = 64_000  # bytes of lines that are compressed at once: some hundred decisions, under a millisecond
-EVERY = 1.0  # seconds that a line waits at most: what a crash costs
+BLOCK_BYTES = (
+    64_000  # bytes of lines that are compressed at once: some hundred decisions, under a millisecond
+)
+MAX_WRITE_DELAY = 1.0  # seconds that a line waits at most: what a crash costs
 
 
 class Tracing:
     """One router's; write() is called by decisions, the rest by whoever owns it."""
 
-    def __init__(self, start, began, guarded, deadlines, log, count):
+    def __init__(self, start, started_at, guarded, deadlines, log, count):
         self.deadlines, self.log, self.count = deadlines, log, count
-        self.recorder = Recorder(header_of(start.name, start.terms, began, start.seed, guarded))
+        self.recorder = Recorder(header_of(start.name, start.terms, started_at, start.seed, guarded))
         self.store = TraceLog(start.trace["folder"], start.name, start.trace["size"], self.recorder.header)
-        self.next = None
+        self.write_timer = None
 
-    def decided(self, now, event, effects, control, ref):
+    def record(self, now, event, effects, control, trace_id):
         if self.store is None:
             return
-        self.recorder.decided(now, event, effects, control, ref)
-        if self.recorder.size >= BLOCK:
+        self.recorder.decided(now, event, effects, control, trace_id)
+        if self.recorder.size >= BLOCK_BYTES:
             self.write()
-        elif self.next is None:
-            self.next = self.deadlines.after(EVERY, self.write)
+        elif self.write_timer is None:
+            self.write_timer = self.deadlines.after(MAX_WRITE_DELAY, self.write)
 
     def write(self):
-        if self.next is not None:
-            self.deadlines.drop(self.next)
-            self.next = None
+        if self.write_timer is not None:
+            self.deadlines.drop(self.write_timer)
+            self.write_timer = None
         if self.store is None or not self.recorder.size:
             return
         try:
             self.store.write(self.recorder.fetch())
-        except OSError as wrong:
+        except OSError as error:
             # Lookups go on: an account of them is worth less than they are.
             self.count("traces_failed")
-            self.log("trace cannot be written, off until a restart", str(wrong), level="error")
-            self._end()
+            self.log("trace cannot be written, off until a restart", str(error), level="error")
+            self._disable()
 
     def close(self):
         self.write()
-        self._end()
+        self._disable()
 
-    def _end(self):
+    def _disable(self):
         store, self.store = self.store, None
         if store is not None:
             store.close()
--- a/standins/followers.py
+++ b/standins/followers.py
@@ -39,32 +39,32 @@
 
     # ---- told by the feed
 
-    def purged(self, purges):
+    def on_purges(self, purges):
         self.caught = len(purges) < MOST_IN_EVENT
         self.look()
 
-    def whole(self, purges, newest):
+    def on_snapshot(self, purges, newest):
         self.caught = True
         self.look()
 
-    def granted(self, asked, wall, span, desk):
+    def on_grant(self, asked, wall, span, desk):
         self.fence.at(steady())
         self.fence.granted(asked, span)
         self.look()
 
-    def left(self):
+    def lease_left(self):
         self.fence.at(steady())
         return self.fence.left()
 
-    def came(self, stream, data):
+    def on_event(self, stream, data):
         before, self.caught = self.place.position, False
-        super().came(stream, data)
+        super().on_event(stream, data)
         caught = self.caught or self.place.position == before  # a beat: nothing is behind it
         if stream is self.stream and self.place.parts is None and caught and not self.up:
             self.up = True
             self.look()
 
-    def went_down(self, stream, why):
+    def on_disconnected(self, stream, why):
         if self.up:
             self.up = False
             if self.dice.random() < self.forget:  # as a router that was replaced
@@ -72,7 +72,7 @@
                 self.place.seen = seen
                 self.fence = Fence(self.fence.lease)
             self.look()
-        super().went_down(stream, why)
+        super().on_disconnected(stream, why)
 
     def look(self):
         self.fence.at(steady())
@@ -91,10 +91,10 @@
     def __getattr__(self, name):
         return getattr(self.follower, name)
 
-    def heard(self, epoch):
+    def on_epoch(self, epoch):
         """The feed keeps the epoch."""
 
-    def place(self, n):
+    def acknowledged(self, n):
         return n, n
 
 
@@ -114,9 +114,9 @@
         for n in range(count)
     ]
     for n, one in enumerate(followers):
-        one.desk = Desk(one)
+        one.handler = Desk(one)
         if one.pacing is not None:
-            one.pacing.desk = one
+            one.pacing.lease_holder = one
         reactor.callLater(n * SPREAD, one.start)
 
     def look():
--- a/standins/hollow/router.py
+++ b/standins/hollow/router.py
@@ -30,14 +30,14 @@
         """lease: of [purges], in tenths of a millisecond."""
         self.fence, self.received = Fence(lease), 0
 
-    def heard(self, epoch: int) -> None:
+    def on_epoch(self, epoch: int) -> None:
         """The feed keeps the epoch."""
 
-    def purged(self, purges: Sequence[Purge]) -> None:
+    def on_purges(self, purges: Sequence[Purge]) -> None:
         """Purges in their order."""
         self.received += len(purges)
 
-    def whole(self, purges: Sequence[Purge], newest: PurgePosition) -> None:
+    def on_snapshot(self, purges: Sequence[Purge], newest: PurgePosition) -> None:
         """A snapshot of all that are live."""
         self.received += len(purges)
 
@@ -45,16 +45,16 @@
         """A sealed slice of the snapshot."""
         self.received += state.keys
 
-    def granted(self, asked: int, wall: int, span: int, desk: int) -> None:
+    def on_grant(self, asked: int, wall: int, span: int, desk: int) -> None:
         """A renewal was answered."""
         self.fence.at(steady())
         self.fence.granted(asked, span)
 
-    def place(self, n: int) -> PurgePosition:
+    def acknowledged(self, n: int) -> PurgePosition:
         """All that was received is taken in, and may be answered for."""
         return PurgePosition(n, n)
 
-    def left(self) -> int:
+    def lease_left(self) -> int:
         """Of the lease, for who paces those that come back."""
         self.fence.at(steady())
         return self.fence.left()
--- a/standins/hollow/sockets.py
+++ b/standins/hollow/sockets.py
@@ -8,7 +8,7 @@
 from collections.abc import Collection
 from typing import Any
 
-from hookrouter.feed import caller, follower
+from hookrouter.feed import follower, http_client
 from hookrouter.feed.purges import PurgeFeed
 from hookrouter.fleet.wire.datagrams import Datagrams
 from hookrouter.fleet.wire.post import Post
@@ -79,7 +79,7 @@
     """Whether it follows purges, or renews the lease on them."""
     if isinstance(protocol, follower.Stream):
         return isinstance(protocol.feed, PurgeFeed)
-    return isinstance(protocol, caller.Connection)
+    return isinstance(protocol, http_client.Connection)
 
 
 def count_connection(protocol: Any, kind: Exchanged, sent: MessageMeter, received: MessageMeter) -> None:
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -22,7 +22,7 @@
 from hookrouter.front import Listener
 from hookrouter.log import Log
 from hookrouter.node.counters import Counters
-from hookrouter.node.router import RESERVED, Router
+from hookrouter.node.router import RESERVED_DESCRIPTORS, Router
 from hookrouter.node.service import Service
 from hookrouter.node.start import read_start
 
@@ -160,7 +160,7 @@
 
 def sockets_for(caches):
     """The least limit of descriptors that leaves caches so many."""
-    return next(n for n in range(4096) if n - n // 3 - RESERVED == caches)
+    return next(n for n in range(4096) if n - n // 3 - RESERVED_DESCRIPTORS == caches)
 
 
 class Machine:
@@ -326,7 +326,7 @@
         return peer
 
     def held(self):
-        return self.router.held()
+        return self.router.gauges()
 
     def nothing_is_owed(self):
         held = self.held()
--- a/tests/crowd_mistakes.py
+++ b/tests/crowd_mistakes.py
@@ -3,11 +3,11 @@
 import sys
 
 from hookrouter import interface
-from hookrouter.caches.pool import Caches
+from hookrouter.caches.pool import CachePool
 from hookrouter.front.connections import Front
 from hookrouter.node.router import Router
 
-satisfied, listed, send = Front.satisfied, Router.listed, Caches.send
+satisfied, listed, send = Front.satisfied, Router.on_cache_list, CachePool.send
 
 
 def warm(row):
@@ -32,7 +32,7 @@
 
 
 def silent(front, call, pieces, length):
-    front.connections.get(call[0]).open.pop(call[1])
+    front.connections.get(call[0]).open_calls.pop(call[1])
 
 
 def passes_over_drains(router, event):
@@ -47,25 +47,25 @@
     )
 
 
-def sends_again(caches, name, errand, *how):
-    if errand.kind == "order":
-        send(caches, name, errand, *how)
-    return send(caches, name, errand, *how)
+def sends_again(caches, name, request, *how):
+    if request.kind == "order":
+        send(caches, name, request, *how)
+    return send(caches, name, request, *how)
 
 
 MISTAKES = {
     "twice": lambda: setattr(Front, "satisfied", twice),
     "spoilt": lambda: setattr(Front, "satisfied", spoilt),
     "silent": lambda: setattr(Front, "satisfied", silent),
-    "purges": lambda: setattr(Router, "purged", lambda router, event: None),
-    "drains": lambda: setattr(Router, "listed", passes_over_drains),
-    "effects": lambda: setattr(Caches, "send", sends_again),
+    "purges": lambda: setattr(Router, "on_purge", lambda router, event: None),
+    "drains": lambda: setattr(Router, "on_cache_list", passes_over_drains),
+    "effects": lambda: setattr(CachePool, "send", sends_again),
     "cold": lambda: None,
 }
 
 
 def install(name):
-    Router.listed = without_coldness
+    Router.on_cache_list = without_coldness
     MISTAKES[name]()
 
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -7,7 +7,7 @@
 
 from hookrouter import interface
 from hookrouter.control import Control
-from hookrouter.node.counters import PLAIN
+from hookrouter.node.counters import PLAIN_COUNTERS
 from hookrouter.parsers import thrift
 
 MS = 10
@@ -374,7 +374,7 @@
         self.lines.append((kind, detail))
 
     def count(self, name):
-        assert name in PLAIN
+        assert name in PLAIN_COUNTERS
         self.counted.append(name)
 
 
--- a/tests/scenes.py
+++ b/tests/scenes.py
@@ -63,7 +63,7 @@
         return service, stopped
 
     def adds_up(self):
-        values, held = self.counters.values, self.router.held()
+        values, held = self.counters.values, self.router.gauges()
         word = lambda name: sum(v for key, v in values.items() if key.startswith(f"lookups_{name}."))  # noqa: E731
         ends = sum(word(end) for end in ("satisfied", "nacked", "failed", "given_up"))
         assert word("taken") == ends + held["lookups_held"]
--- a/tests/test_admission_network.py
+++ b/tests/test_admission_network.py
@@ -8,17 +8,17 @@
 from purging import event, purges, site
 from test_purge_follower import Following
 
-from hookrouter.feed.paced import Pacing
+from hookrouter.feed.reconnect_pacing import ReconnectPacing
 from standins.ports import free_port
 from standins.storm import Storm
 
 
 def test_a_follower_that_is_told_comes_back_then_with_its_ticket(tmp_path):
     s = Following(tmp_path)
-    s.desk.left = lambda: 1_234
+    s.desk.lease_left = lambda: 1_234
     s.feed.pace()
-    s.feed.went_down(s.feed.stream, "closed")  # told nothing: by jitter
-    assert 0.02 <= s.net.seconds() + s.feed.pause <= 0.4 and isinstance(s.feed.pacing, Pacing)
+    s.feed.on_disconnected(s.feed.stream, "closed")  # told nothing: by jitter
+    assert 0.02 <= s.net.seconds() + s.feed.pause <= 0.4 and isinstance(s.feed.pacing, ReconnectPacing)
     s.net.pump([0.05] * 10)
     way = next(way for way in reversed(s.net.ways) if not way.over and hasattr(way.factory, "stream"))
     line = way.up()
@@ -30,9 +30,9 @@
     assert not [way for way in s.net.ways[before:] if hasattr(way.factory, "stream")]
     s.net.pump([0.1] * 2)
     line = s.stream()
-    assert b"X-Ticket: abcd" in line.asked and s.feed.pacing.comer.cap() == 16_000
+    assert b"X-Ticket: abcd" in line.asked and s.feed.pacing.reconnector.cap() == 16_000
     s.send(line, event("purges", 5, purges=purges(1)))
-    assert s.desk.applied == [1] and s.feed.pacing.comer.ticket == ""
+    assert s.desk.applied == [1] and s.feed.pacing.reconnector.ticket == ""
 
 
 def test_a_desk_killed_twice_within_one_storm_of_processes(tmp_path):
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -6,12 +6,12 @@
 from fleet import END, MS, SECOND, Net, Noted, answer, terms
 
 from hookrouter import interface
-from hookrouter.caches import Caches, Errand
+from hookrouter.caches import CachePool, CacheRequest
 from hookrouter.control.rules import Rules
 from hookrouter.tables.body_memory import BodyMemory
 from hookrouter.tables.deadlines import Deadlines
 
-PLAIN = Errand("clip", "9b1f", "7f3a", 3, None, None, b"", 900 * MS)
+PLAIN = CacheRequest("clip", "9b1f", "7f3a", 3, None, None, b"", 900 * MS)
 
 
 class Scene:
@@ -23,16 +23,20 @@
             [],
         )
         self.deadlines = Deadlines(self.net)
-        self.caches = Caches(
+        self.caches = CachePool(
             self.net, self.deadlines, self.room, most, terms(**more), self.noted.log, self.noted.count
         )
         self.soon = Rules(None, terms(**more)).soon / SECOND  # what the module lets a first attempt wait
         for n in range(3):
-            self.caches.learn(f"c{n}", ("127.0.0.1", 7000 + n), 0)
+            self.caches.update(f"c{n}", ("127.0.0.1", 7000 + n), 0)
 
-    def send(self, name="c0", errand=PLAIN, leave=None, wanted=lambda: True):
+    def send(self, name="c0", request=PLAIN, start_within=None, is_wanted=lambda: True):
         send = self.caches.send(
-            name, errand, errand.wait / SECOND, self.soon if leave is None else leave, wanted
+            name,
+            request,
+            request.timeout / SECOND,
+            self.soon if start_within is None else start_within,
+            is_wanted,
         )
         send.deferred.addCallback(self.ended.append)
         return send
@@ -41,7 +45,7 @@
         return self.net.ways[-1].up()
 
     def ends(self):
-        return [ended.end for ended in self.ended]
+        return [ended.outcome for ended in self.ended]
 
     def nothing_is_left(self):
         assert len(self.deadlines) == 0 and len(self.caches.connections) == 0 and self.room.used_bytes == 0
@@ -51,7 +55,7 @@
 def test_a_send_carries_every_field_in_the_form_of_the_page():
     s = Scene()
     s.send(
-        errand=Errand(
+        request=CacheRequest(
             "a kind",
             "9b1f",
             "7f3a",
@@ -97,13 +101,13 @@
 )
 def test_each_answer_ends_as_what_it_is(said, end):
     s = Scene()
-    s.send(errand=PLAIN._replace(seen="4be0"))
+    s.send(request=PLAIN._replace(client_revision="4be0"))
     wire = s.up()
     for byte in said:
         wire.come(bytes([byte]))
     assert s.ends() == [end] and wire.open
     ended = s.ended[0]
-    assert ended.unchanged == (b" 304 " in said) and b"".join(ended.pieces) == (
+    assert ended.not_modified == (b" 304 " in said) and b"".join(ended.pieces) == (
         b"body" if b" 200 " in said else b""
     )
     assert ended.length == len(b"".join(ended.pieces)) and s.room.used_bytes == 0
@@ -200,7 +204,7 @@
     s.send()
     s.net.advance(0.4)
     assert s.ends() == [interface.UNREACHED] * 2 and s.net.ways[-1].over
-    s.send(errand=PLAIN._replace(wait=100 * MS))
+    s.send(request=PLAIN._replace(timeout=100 * MS))
     s.net.advance(0.1)
     assert s.ends() == [interface.UNREACHED] * 3
     s.nothing_is_left()
@@ -214,7 +218,7 @@
     s.net.pump([0.47, 0.02])
     assert s.ends() == [interface.VOID]
     s.net.ways[0].wire.come(answer(404))
-    s.caches.forget("c0")
+    s.caches.remove("c0")
     s.net.advance(0)
     s.send("c1")
     s.net.pump([0.47, 0.02])
@@ -238,7 +242,7 @@
     s.send("c0")
     s.caches.probe("c0").deferred.addCallback(s.ended.append)
     s.net.advance(0)
-    assert list(s.caches.places) == ["c1", "c2"] and len(s.net.ways) == 1
+    assert list(s.caches.endpoints) == ["c1", "c2"] and len(s.net.ways) == 1
     wire.come(answer(200, b"x"))  # one under way goes on
     s.net.advance(0)
     assert s.ends() == [interface.VOID, interface.VOID, interface.SATISFIED]
@@ -264,8 +268,8 @@
 def test_a_send_given_up_at_the_moment_its_time_is_over_was_late():
     """The alarm for the same moment comes first: seen on sockets, the module learned of no send silent to the end."""
     s, sends = Scene(), []
-    s.deadlines.after(0.9, lambda: [send.give_up() for send in sends])
-    sends += [s.send("c0"), s.send("c1", PLAIN._replace(wait=901 * MS))]
+    s.deadlines.after(0.9, lambda: [send.cancel() for send in sends])
+    sends += [s.send("c0"), s.send("c1", PLAIN._replace(timeout=901 * MS))]
     for way in s.net.ways:
         way.up()
     s.net.pump([0.9, 0])
@@ -282,7 +286,7 @@
     if how == "late":
         s.net.advance(0.9)
     elif how == "given up":
-        send.give_up()
+        send.cancel()
     else:
         wire.come(b"junk\r\n\r\n")
     assert not wire.open
@@ -298,12 +302,12 @@
     s.net.pump([0.9, 0])
     send = s.send()
     cancelled = s.up()
-    send.give_up()
-    send.give_up()
+    send.cancel()
+    send.cancel()
     s.net.advance(0)
     assert s.ends() == [interface.LATE, interface.CANCELLED]
     coming = s.send()
-    coming.give_up()
+    coming.cancel()
     s.net.advance(0)
     assert not silent.open and not cancelled.open and s.ends()[2:] == [interface.CANCELLED]
     s.nothing_is_left()
@@ -317,8 +321,8 @@
     s.send("c1")
     s.net.pump([0, 0.2])
     assert not idle.open and len(s.net.ways) == 2
-    s.send("c2", PLAIN._replace(wait=100 * MS))
-    s.send("c0", PLAIN._replace(wait=700 * MS))
+    s.send("c2", PLAIN._replace(timeout=100 * MS))
+    s.send("c0", PLAIN._replace(timeout=700 * MS))
     s.net.pump([0.1, 0.1])
     assert s.ends() == [
         interface.SATISFIED,
@@ -327,7 +331,7 @@
     ]  # the third had no place, the second was not up in time
     assert s.net.ways[-1].port == 7000 and len(s.net.ways) == 3
     s.up().come(answer(404))
-    s.caches.forget("c0")
+    s.caches.remove("c0")
     s.net.advance(0)
     assert s.ends()[3:] == [interface.MISSING]
     s.nothing_is_left()
@@ -355,9 +359,9 @@
         s.send(name)
         wire = s.up()
         wire.come(answer(200, b"x"))
-        s.caches.learn(name, (s.caches.places[name].host, s.caches.places[name].port), 0)
+        s.caches.update(name, (s.caches.endpoints[name].host, s.caches.endpoints[name].port), 0)
         assert wire.open
-        s.caches.learn(*change)
+        s.caches.update(*change)
         s.net.advance(0)
         assert not wire.open
     s.send("c1")
@@ -406,7 +410,7 @@
         open_ways = [way for way in s.net.ways if not way.over]
         wires = [way.wire for way in s.net.ways if way.wire is not None and way.wire.open]
         if what < 2 and len(sent) < 150:
-            sent.append(s.send(f"c{dice.randrange(3)}", PLAIN._replace(wait=dice.randrange(1, 900) * MS)))
+            sent.append(s.send(f"c{dice.randrange(3)}", PLAIN._replace(timeout=dice.randrange(1, 900) * MS)))
         elif what == 2 and open_ways:
             way = dice.choice(open_ways)
             dice.choice((way.up, way.up, way.refuse))()
@@ -417,7 +421,7 @@
         elif what == 4 and wires:
             dice.choice(wires).abortConnection()
         elif what == 5 and sent:
-            dice.choice(sent).give_up()
+            dice.choice(sent).cancel()
         else:
             s.net.advance(dice.choice((0, 0.01, 0.2)))
         assert len(s.caches.connections) <= 4
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -171,7 +171,7 @@
         m.turns(40)
         assert m.asked() == []
         m.nothing_is_owed()
-        assert m.held()["clients_held"] == 0 and not m.router.traces
+        assert m.held()["clients_held"] == 0 and not m.router.open_trace_ids
         m.advance(1.0, 0.1)
         assert m.asked() == [] and m.held()["connections_held"] == 0
 
@@ -194,5 +194,5 @@
         m.turns()
         assert m.asked(CALL) == ["c0"]
         m.nothing_is_owed()
-        assert m.held()["body_bytes_held"] == 0 and not m.router.traces
+        assert m.held()["body_bytes_held"] == 0 and not m.router.open_trace_ids
         assert how == "interrupt" or m.held()["clients_held"] == 0
--- a/tests/test_crossings_linger.py
+++ b/tests/test_crossings_linger.py
@@ -101,7 +101,7 @@
         client.send(message(1, ref="a" * 16))
         m.answer(b"x" * 200_000)
         m.until(lambda: m.held()["lookups_held"] == 0)
-        m.router.front.idle_for = 5  # less than a client has to read what was written to it
+        m.router.front.idle_timeout = 5  # less than a client has to read what was written to it
         if why == "short":
             crowd(m)
         ended_by(m, why, rest=6)
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -43,7 +43,7 @@
             assert len(m.feed.peers) == 2 and stream_of(m) is not None
             second.send(event({"n": 2, "purge": {"group": 1, "at": 1_700_000_000_000}}))
             m.turns()
-            assert m.router.feed.last == 2
+            assert m.router.feed.last_number == 2
             m.advance(1.9)  # silent: its own timer ends it
             assert second.read() and second.end
         m.followed(m.feed, 1 + (new == "is up"), 0.5)
@@ -62,10 +62,10 @@
         else:
             getattr(first, cut)()
         second = m.followed(m.feed, 1, 0.5)
-        assert m.router.feed.last == 1 and b"Last-Event-ID: 1\r\n" in second.got
+        assert m.router.feed.last_number == 1 and b"Last-Event-ID: 1\r\n" in second.got
         second.send(told + told)
         m.turns()
-        assert m.router.feed.last == 2 and m.counters.values["feed_events"] == 1
+        assert m.router.feed.last_number == 2 and m.counters.values["feed_events"] == 1
 
 
 @pytest.mark.parametrize("dial", ["held", "up"])
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -29,26 +29,29 @@
         )
         self.feed.start()
 
-    def listed(self, event):
+    def on_cache_list(self, event):
         self.seen.append(event)
 
-    def purged(self, event):
+    def on_purge(self, event):
         self.seen.append(event)
 
     def numbers(self):
-        return [event.n for event in self.seen]
+        return [event.number for event in self.seen]
 
 
 def test_events_become_lists_and_purges():
     s = Scene()
     wire = s.net.ways[0].up()
-    assert wire.take().startswith(b"GET /v1/events HTTP/1.1\r\n") and s.feed.last == 3
+    assert wire.take().startswith(b"GET /v1/events HTTP/1.1\r\n") and s.feed.last_number == 3
     wire.come(HEAD + told(members(4, endpoint("s-1", 7001, status="leaving", since=1764576000000))))
     wire.come(told(purge(5, key="7f3a")) + told(purge(6, group=17)) + b": comment\n\n")
     listed, by_key, by_group = s.seen
     assert listed.caches == (interface.Cache("s-1", "edge", 0, 8, 17645760000000, interface.DRAINING, "box"),)
-    assert listed.addresses == (("127.0.0.1", 7001),) and not listed.whole
-    assert (by_key.object, by_key.made) == ("7f3a", 17645760001230) and (by_group.object, by_group.group) == (
+    assert listed.addresses == (("127.0.0.1", 7001),) and not listed.snapshot
+    assert (by_key.object, by_key.purged_at) == ("7f3a", 17645760001230) and (
+        by_group.object,
+        by_group.group,
+    ) == (
         None,
         17,
     )
@@ -148,7 +151,7 @@
 def test_events_from_elsewhere_are_told_only_where_they_follow():
     s = Scene()
     _, events = read_known({"n": 9, "events": [purge(n, group=1) for n in (2, 3, 4, 5, 8, 9)]})
-    s.feed.catch_up(events)
+    s.feed.apply_known(events)
     s.net.ways[0].up().come(HEAD + told(purge(5, group=1)) + told(purge(6, group=1)))
     assert s.numbers() == [4, 5, 6]
 
@@ -165,18 +168,18 @@
     last, events = read_known(
         {"n": 2, "events": [members(1, endpoint("a", 7001), whole=True), purge(2, key="ab")]}
     )
-    assert last == 2 and [event.n for event in events] == [1, 2] and events[0].whole
+    assert last == 2 and [event.number for event in events] == [1, 2] and events[0].snapshot
 
 
 def test_a_late_byte_of_an_old_stream_takes_the_next_ones_timer_not_away():
     s = Scene()
     old = s.net.ways[0].up()
     stream = old.protocol
-    s.feed.end(stream, "silent")
+    s.feed.abort(stream, "silent")
     s.net.advance(0)
-    stream.feed.heard(stream)
+    stream.feed.on_activity(stream)
     s.net.advance(0.05)
     assert len(s.net.ways) == 2
-    stream.feed.heard(stream)
+    stream.feed.on_activity(stream)
     s.net.advance(1)
     assert s.net.ways[1].over  # it had a second to come up
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -17,10 +17,10 @@
     def __init__(self):
         self.calls, self.gone, self.good = [], [], True
 
-    def taken(self, call, asked):
-        self.calls.append((call, asked))
+    def on_lookup(self, call, request):
+        self.calls.append((call, request))
 
-    def left(self, call):
+    def on_client_gone(self, call):
         self.gone.append(call)
 
     def ready(self):
@@ -38,7 +38,7 @@
 
 
 class Scene:
-    def __init__(self, most=4, room=10_000, half=100_000):
+    def __init__(self, most=4, room=10_000, max_partial_bytes=100_000):
         self.net, self.desk, self.noted, self.room = (
             Net(),
             Desk(),
@@ -46,7 +46,14 @@
             BodyMemory(room, lambda: self.noted.count("room_filled")),
         )
         self.front = Front(
-            self.desk, Deadlines(self.net), self.room, most, half, 15.0, self.noted.log, self.noted.count
+            self.desk,
+            Deadlines(self.net),
+            self.room,
+            most,
+            max_partial_bytes,
+            15.0,
+            self.noted.log,
+            self.noted.count,
         )
         self.front.port = Port()
 
@@ -59,15 +66,30 @@
     wire = s.client()
     wire.come(message(1, dup="1", replay="5c0f", have="4be0") + message(2, body=b"\x00\r\n"))
     wire.come(message(3) + message(4))
-    (first, asked), (second, other) = s.desk.calls[:2]
-    assert asked.trace == f"{1:016x}" and (asked.kind, asked.allow, asked.part, asked.group) == (
+    (first, request), (second, other) = s.desk.calls[:2]
+    assert request.trace == f"{1:016x}" and (
+        request.kind,
+        request.time_allowed,
+        request.part,
+        request.group,
+    ) == (
         "clip",
         15_000,
         3,
         17,
     )
-    assert (asked.repeat, asked.key, asked.seen, asked.size) == (True, "5c0f", "4be0", 412.5)
-    assert (other.repeat, other.key, other.seen, other.body) == (False, None, None, b"\x00\r\n")
+    assert (request.repeat, request.dedup_key, request.client_revision, request.size) == (
+        True,
+        "5c0f",
+        "4be0",
+        412.5,
+    )
+    assert (other.repeat, other.dedup_key, other.client_revision, other.body) == (
+        False,
+        None,
+        None,
+        b"\x00\r\n",
+    )
     s.front.satisfied(second, (b"ab", b"\x00c"), 4)
     s.front.nacked(s.desk.calls[2][0], 2505)
     s.front.unchanged(first)
@@ -195,16 +217,16 @@
 
 def test_silent_and_half_heard_clients_are_ended_in_time_the_others_stay():
     s = Scene(most=9)
-    silent, half, drip, good = (s.client() for _ in range(4))
-    half.come(message(1) + message(2)[:-1])
+    silent, max_partial_bytes, drip, good = (s.client() for _ in range(4))
+    max_partial_bytes.come(message(1) + message(2)[:-1])
     good.come(message(1))
     for n in range(19):
         drip.come(message(1)[n : n + 1])
         s.net.advance(0.1)
-    assert silent.open and half.open and drip.open
+    assert silent.open and max_partial_bytes.open and drip.open
     s.net.pump([0.1, 0.1, 0])
-    assert not silent.open and not half.open and not drip.open and good.open
-    assert len(s.desk.calls) == 2 and len(s.desk.gone) == 1 and s.front.half_held == 0
+    assert not silent.open and not max_partial_bytes.open and not drip.open and good.open
+    assert len(s.desk.calls) == 2 and len(s.desk.gone) == 1 and s.front.partial_bytes_total == 0
     s.net.advance(30)
     assert good.open  # its call is open
 
@@ -234,14 +256,14 @@
 
 
 def test_half_frames_of_all_clients_have_a_bound_beyond_which_the_oldest_goes():
-    s = Scene(half=3_000)
+    s = Scene(max_partial_bytes=3_000)
     wires = [s.client() for _ in range(3)]
     for wire in wires:
         wire.come(message(1, body=b"x" * 2_000)[:1_400])
     s.net.advance(0)
-    assert [wire.open for wire in wires] == [False, True, True] and s.front.half_held == 2_800
+    assert [wire.open for wire in wires] == [False, True, True] and s.front.partial_bytes_total == 2_800
     wires[1].come(message(1, body=b"x" * 2_000)[1_400:])
-    assert s.front.half_held == 1_400 and len(s.desk.calls) == 1
+    assert s.front.partial_bytes_total == 1_400 and len(s.desk.calls) == 1
 
 
 def test_the_listener_accepts_no_more_than_there_are_slots():
@@ -348,7 +370,10 @@
     more.unread = message(2)
     more.come(message(1))
     s.net.advance(0)
-    assert [(call[1], asked.trace) for call, asked in s.desk.calls] == [(1, f"{1:016x}"), (2, f"{2:016x}")]
+    assert [(call[1], request.trace) for call, request in s.desk.calls] == [
+        (1, f"{1:016x}"),
+        (2, f"{2:016x}"),
+    ]
     assert not gone.open and back.open and s.desk.gone == [] and back.take() == b""
 
 
@@ -360,12 +385,12 @@
         wire.come(message(1, b"check"))
         wire.loseWriteConnection = lambda wire=wire: shut.append(wire)  # this client rests, and does not end
     for wire in wires[:2]:
-        wire.protocol.end()
+        wire.protocol.close()
         wire.protocol.writeConnectionLost()  # all is written
     wires[0].come(message(2))  # crosses: read and dropped
     assert shut == wires[:2] and not s.desk.calls and wires[0].open and len(s.front.connections) == 4
     for wire in wires[2:]:
-        wire.protocol.end()
+        wire.protocol.close()
         wire.protocol.writeConnectionLost()
     s.net.advance(0)
     assert [wire.open for wire in wires] == [
@@ -404,9 +429,9 @@
         wire.come(message(1, b"check"))
         wire.loseWriteConnection = lambda: None
         wire.loseConnection = lambda wire=wire: closed.append(wire)
-    wires[0].protocol.end()
+    wires[0].protocol.close()
     wires[0].protocol.writeConnectionLost()
-    s.front.cut_off()
+    s.front.abort_all()
     s.net.advance(0)
     assert closed == [wires[0]] and wires[0].open and not wires[1].open
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -10,10 +10,10 @@
 def test_a_repeat_leaves_by_the_moment_that_is_carried_with_it_or_never():
     """The window of repeats was held against the decision alone; a dial may take 0.4 s more."""
     s = Scene(most=1)
-    s.send(leave=0.05)
+    s.send(start_within=0.05)
     s.net.advance(0.06)
     assert s.ends() == [interface.UNREACHED]
-    s.send(leave=0.05)
+    s.send(start_within=0.05)
     s.net.rightNow += 0.06  # a pause: no timer was called
     wire = s.up()
     s.net.advance(0)
@@ -23,15 +23,15 @@
 
 @pytest.mark.parametrize("on", ["a dial", "a descriptor", "an idle connection"])
 def test_a_request_is_not_written_where_nobody_waits_for_it_any_more(on):
-    s, wanted = Scene(most=1), [True]
+    s, is_wanted = Scene(most=1), [True]
     if on != "a dial":
         s.send()
         s.up().take()
     if on == "an idle connection":
         s.net.ways[-1].wire.come(answer(200, b"x"))
-        wanted[0] = False
-    s.send(wanted=lambda: wanted[0])
-    wanted[0] = False
+        is_wanted[0] = False
+    s.send(is_wanted=lambda: is_wanted[0])
+    is_wanted[0] = False
     if on == "a dial":
         s.up()
     elif on == "a descriptor":
@@ -48,7 +48,7 @@
     s.up().unread = answer(200, b"body")
     s.net.pump([0.9, 0])
     assert s.ends() == [interface.SATISFIED] and s.ended[0].pieces == (b"body",)
-    s.send(errand=PLAIN._replace(object="0d55"))
+    s.send(request=PLAIN._replace(object="0d55"))
     s.net.ways[-1].wire.unread = answer(200, b"body")[:-1]
     s.net.pump([0.9, 0])
     assert s.ends() == [interface.SATISFIED, interface.LATE]
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -209,7 +209,7 @@
         interface.Ask(number, "c0", 100),
         interface.Cancel(number, 0),
     ]
-    s.router.tell(interface.Alarm(0))
+    s.router.handle_event(interface.Alarm(0))
     assert list(answers(wire.take())[1][1]) == [1] and len(s.net.ways) == 1
     assert s.counters.values["sends"] == 1 and s.adds_up()["lookups_held"] == 0
 
@@ -295,7 +295,7 @@
     assert (
         s.net.ways[-1].port == 9093
         and b"Last-Event-ID: 2\r\n" in s.up().take()
-        and "c0" not in s.router.caches.places
+        and "c0" not in s.router.caches.endpoints
     )
     assert (s.counters.values["reloads"], s.counters.values["reloads_refused"]) == (1, 3)
 
@@ -311,7 +311,7 @@
         and s.counters.values["ids_used_twice"] == 1
     )
     s.up().come(answer(200, b"x"))
-    assert answers(wire.take())[1][1][0][1] == b"x" and not s.router.traces
+    assert answers(wire.take())[1][1][0][1] == b"x" and not s.router.open_trace_ids
     other.come(message(2, ref=f"{1:016x}"))
     assert s.adds_up()["lookups_held"] == 1
 
@@ -330,11 +330,13 @@
     got = answers(wire.take())
     assert got[3][1][0][1] == b"body" and got[4][1][0] == {1: b"", 2: {b"same": b"1"}, 3: True}
     assert (
-        s.counters.values["sends"] == sent and s.counters.values["copies_given"] == 2 and not s.router.brought
+        s.counters.values["sends"] == sent
+        and s.counters.values["copies_given"] == 2
+        and not s.router.storable_results
     )
     wire.come(message(5, part="4"))
     assert s.counters.values["sends"] == sent + 1 and s.adds_up()["copy_bytes_held"] == 4
-    s.router.purged(
+    s.router.on_purge(
         parse_event(json.dumps({"n": 9, "purge": {"group": 17, "at": int((BEGAN + 59.5) * 1000)}}))
     )
     assert not s.router.copies and s.adds_up()["copy_bytes_held"] == 0
@@ -343,8 +345,10 @@
 def test_caches_that_come_and_go_leave_nothing_behind(tmp_path):
     s = Scene(tmp_path)
     for n in range(2, 200):
-        s.router.listed(parse_event(json.dumps(members(n, endpoint(f"new{n}", 7100, since=n)))))
-        s.router.listed(parse_event(json.dumps(members(n, endpoint(f"new{n}", 7100, status="left")))))
-    assert sorted(s.router.caches.places) == ["c0", "c1", "o0", "p0"] and len(s.router.control.cache_ids) <= 6
-    s.router.listed(parse_event(json.dumps(members(200, *FLEET[:3], whole=True))))
-    assert sorted(s.router.caches.places) == ["c0", "c1", "p0"]
+        s.router.on_cache_list(parse_event(json.dumps(members(n, endpoint(f"new{n}", 7100, since=n)))))
+        s.router.on_cache_list(parse_event(json.dumps(members(n, endpoint(f"new{n}", 7100, status="left")))))
+    assert (
+        sorted(s.router.caches.endpoints) == ["c0", "c1", "o0", "p0"] and len(s.router.control.cache_ids) <= 6
+    )
+    s.router.on_cache_list(parse_event(json.dumps(members(200, *FLEET[:3], whole=True))))
+    assert sorted(s.router.caches.endpoints) == ["c0", "c1", "p0"]
--- a/tests/test_node_floods.py
+++ b/tests/test_node_floods.py
@@ -98,7 +98,7 @@
         # What the module believes to be out is what is out, and its counts by cache are made of just that.
         control, out = (
             s.router.control,
-            {(lk.number, n) for lk in s.router.lookups.occupied() for n in lk.running},
+            {(lookup.number, n) for lookup in s.router.lookups.occupied() for n in lookup.active_sends},
         )
         assert set(control.pending_sends) == out and sum(control.in_flight) == sum(
             1 + (sent.upstream not in (None, sent.target)) for sent in control.pending_sends.values()
--- a/tests/test_purge_follower.py
+++ b/tests/test_purge_follower.py
@@ -22,19 +22,19 @@
     def __init__(self):
         self.applied, self.grants, self.snapshots = [], [], []
 
-    def heard(self, epoch):
+    def on_epoch(self, epoch):
         self.epoch = epoch
 
-    def purged(self, purges):
+    def on_purges(self, purges):
         self.applied += [purge.n for purge in purges]
 
-    def whole(self, purges, newest):
+    def on_snapshot(self, purges, newest):
         self.snapshots.append((len(purges), newest))
 
-    def granted(self, *grant):
+    def on_grant(self, *grant):
         self.grants.append(grant)
 
-    def place(self, n):
+    def acknowledged(self, n):
         return n, n
 
 
--- a/tests/test_purge_network.py
+++ b/tests/test_purge_network.py
@@ -46,11 +46,11 @@
 
     def lease(self, span=2 * SECOND):
         now = int(self.net.seconds() * SECOND)
-        self.purging.granted(now, self.router.now(), span, self.router.now())
+        self.purging.on_grant(now, self.router.now(), span, self.router.now())
 
     def purge(self, kind=types.OBJECT, what=NAME, ago=0.0):
         self.n += 1
-        self.purging.purged([Purge(1, self.n, int((self.wall() - ago) * SECOND), kind, what)])
+        self.purging.on_purges([Purge(1, self.n, int((self.wall() - ago) * SECOND), kind, what)])
 
     def ask(self, **fields):
         """On a connection of its own: a silent one is ended."""
@@ -183,16 +183,16 @@
     s = Scene(tmp_path)
     s.lease(60 * SECOND)
     ticks = iter(range(10**6))
-    s.purging.watch = lambda: next(ticks) / 1_000  # a millisecond a purge
-    s.purging.whole(
+    s.purging.stopwatch = lambda: next(ticks) / 1_000  # a millisecond a purge
+    s.purging.on_snapshot(
         [Purge(1, n, int(s.wall() * SECOND), types.OBJECT, f"o{n}") for n in range(1, 22)], (1, 21)
     )
-    assert 0 < len(s.router.guard.index) < 21 and s.purging.place(21) == (-1, -1)
+    assert 0 < len(s.router.guard.index) < 21 and s.purging.acknowledged(21) == (-1, -1)
     taken = s.ask()  # lookups go on between
     s.comes(s.cache()[0], 0.0)
     assert s.ends() == {taken: "satisfied"}
     s.net.pump([0.001] * 8)
-    assert len(s.router.guard.index) == 21 and s.purging.place(21) == (21, 21)
+    assert len(s.router.guard.index) == 21 and s.purging.acknowledged(21) == (21, 21)
 
 
 def test_a_fenced_router_that_nacks_does_so_at_once_but_writes_go_on(tmp_path):
@@ -210,15 +210,15 @@
     s.lease(60 * SECOND)
     s.ask()
     line, _ = s.cache()
-    left = line.protocol.place.name
-    s.router.listed(
+    left = line.protocol.endpoint.name
+    s.router.on_cache_list(
         parse_event(json.dumps(members(2, endpoint(left, 7100 + int(left[1]), status="leaving"))))
     )
     s.purge()
     s.net.advance(0.6)
     s.comes(line, 2.0)
     line, age = s.cache()
-    assert line.protocol.place.name != left and age <= 600
+    assert line.protocol.endpoint.name != left and age <= 600
     s.comes(line, 0.1)
     assert s.ends() == {1: "satisfied"}
 
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -28,8 +28,8 @@
 from hookrouter.decisions.sharing.board import rank  # noqa: E402
 from hookrouter.decisions.sharing.bounds import cut  # noqa: E402
 from hookrouter.decisions.sharing.pulls import PIECE, Lender, Puller  # noqa: E402
-from hookrouter.node.tally import Tally  # noqa: E402
-from hookrouter.node.told import Told  # noqa: E402
+from hookrouter.node.cache_loads import CacheLoads  # noqa: E402
+from hookrouter.node.shared_state import SharedState  # noqa: E402
 from hookrouter.site import InvalidSiteFile, read_text  # noqa: E402
 from standins.ports import free_port
 from standins.rig import Rig  # noqa: E402
@@ -201,19 +201,19 @@
 
 
 def test_a_tally_averages_what_goes_out_and_forgets_caches_that_are_gone():
-    tally = Tally()
+    cache_loads = CacheLoads()
 
     def rows(now):
-        return {name: (out, rate) for name, _, out, rate in tally.look(now)}
+        return {name: (out, rate) for name, _, out, rate in cache_loads.sample(now)}
 
-    tally.look(0)
+    cache_loads.sample(0)
     for now in range(1_000, 200_001, 1_000):  # twice in 100 ms, each 50 ms long
         for _ in range(2):
-            tally.sent("c0", "p0")
-        tally.ended("c0", "p0", interface.SATISFIED, 500)
+            cache_loads.send_started("c0", "p0")
+        cache_loads.send_ended("c0", "p0", interface.SATISFIED, 500)
         seen = rows(now)
-        tally.ended("c0", "p0", interface.FULL, 500)
-    assert abs(seen["c0"][0] - 1) < 0.1 and abs(seen["p0"][1] - 20) < 1 and not tally.out
+        cache_loads.send_ended("c0", "p0", interface.FULL, 500)
+    assert abs(seen["c0"][0] - 1) < 0.1 and abs(seen["p0"][1] - 20) < 1 and not cache_loads.active_sends
     for now in range(201_000, 500_000, 1_000):
         seen = rows(now)
     assert seen == {}
@@ -221,8 +221,8 @@
 
 def test_a_starter_takes_over_half_of_what_two_neighbours_learnt_and_sets_nothing_aside_by_it():
     def told(control):
-        made = Told(SimpleNamespace(control=control, now=lambda: control.now))
-        made.tally.list(SimpleNamespace(caches=FLEET, whole=True))
+        made = SharedState(SimpleNamespace(control=control, now=lambda: control.now))
+        made.cache_loads.update_caches(SimpleNamespace(caches=FLEET, snapshot=True))
         return made
 
     lender, starter = told(router()), told(router())
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -147,7 +147,7 @@
         s.net.rightNow += 0.3  # the clock goes on, and no deadline is called
         s.client()
     elif case == "the end":
-        s.front.end_idle()
+        s.front.close_idle()
     else:
         s.net.advance(20)
     s.net.pump([0, 0])
@@ -164,7 +164,7 @@
         wire.abortConnection()
         s.net.pump([0, 0.01])
         held = s.adds_up()
-        assert not held["lookups_held"] and not held["clients_held"] and not s.router.traces
+        assert not held["lookups_held"] and not held["clients_held"] and not s.router.open_trace_ids
     s.net.pump([0.5, 0])
     assert s.adds_up()["connections_held"] == 0 and s.counters.values["lookups_given_up.clip"] > 0
 
@@ -214,7 +214,7 @@
 @pytest.mark.parametrize("fields", [(), (b"X-Rev: 0000",), (b"X-Rev: ",)])
 def test_a_copy_is_called_current_only_where_the_cache_names_that_copy(fields):
     s = test_caches.Scene()
-    s.send(errand=test_caches.PLAIN._replace(seen="4be0"))
+    s.send(request=test_caches.PLAIN._replace(client_revision="4be0"))
     s.up().come(answer(304, b"", *fields))
     s.net.advance(0)
     assert s.ends() == [interface.BROKEN]
@@ -226,14 +226,14 @@
     s.send()
     wire = s.up()
     wire.come(answer(200, b"body", *COPY))
-    s.send(errand=OTHER)
+    s.send(request=OTHER)
     wire.come(answer(200, b"body", *COPY))  # ends in the other's place
     s.net.advance(0)
     assert s.ends() == [interface.SATISFIED, interface.BROKEN] and not wire.open
-    for n, (errand, tag) in enumerate(
+    for n, (request, tag) in enumerate(
         ((test_caches.PLAIN, COPY[0]), (test_caches.PLAIN, COPY[0]), (OTHER, b"X-Rev: 0d"))
     ):
-        s.send(errand=errand)
+        s.send(request=request)
         wire = wire if n else s.up()
         wire.come(answer(200, b"body", tag, COPY[1]))  # one object's copy twice is no double
     assert s.ends()[2:] == [interface.SATISFIED] * 3
@@ -242,12 +242,12 @@
 @pytest.mark.parametrize("said", [answer(404), answer(503, b"", b"X-Declined: 1"), answer(200, b"done")])
 def test_what_may_not_be_repeated_takes_no_connection_on_which_a_double_may_still_come(said):
     """A late 404 or refusal would say that it never ran."""
-    s, once = test_caches.Scene(), OTHER._replace(once=True)
+    s, not_repeatable = test_caches.Scene(), OTHER._replace(not_repeatable=True)
     s.send()
     first = s.up()
     first.come(said)
     s.net.advance(0.005)
-    s.send(errand=once)
+    s.send(request=not_repeatable)
     assert len(s.net.ways) == 2
     first.come(said)
     s.net.advance(0)
@@ -255,7 +255,7 @@
     second = s.up()
     second.come(answer(200, b"done"))
     s.net.advance(0.05)
-    s.send(errand=once)
+    s.send(request=not_repeatable)
     assert len(s.net.ways) == 2  # rested: taken again
 
 
@@ -285,7 +285,7 @@
                 }[way]
             )
     assert s.numbers() == [4] and s.net.seconds() - began < 7
-    assert follower.SILENCE + follower.LONGEST_PAUSE + follower.UP_WITHIN < 4
+    assert follower.SILENCE_TIMEOUT + follower.MAX_PAUSE + follower.CONNECT_TIMEOUT < 4
 
 
 # ---- real processes
@@ -301,11 +301,11 @@
 
 def heard(connection, seqid):
     got = b""
-    while seqid not in (seen := answers(got)):
+    while seqid not in (client_revision := answers(got)):
         piece = connection.recv(65536)
         assert piece, f"ended without an answer to {seqid}"
         got += piece
-    return seen[seqid][1]
+    return client_revision[seqid][1]
 
 
 @pytest.mark.parametrize("paused", [False, True])
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -13,7 +13,7 @@
 from hookrouter import interface
 from hookrouter.__main__ import main
 from hookrouter.control import Control
-from hookrouter.node.tracing import BLOCK
+from hookrouter.node.tracing import BLOCK_BYTES
 from hookrouter.stores.trace_log import SEGMENTS, TraceLog, lines, segments
 from hookrouter.trace import Account, Replay, Row, UnreadableTrace, read_header, read_row
 from hookrouter.trace.rows import MOST_LINE, Header, KindRow, belief
@@ -55,7 +55,7 @@
 def test_what_was_decided_is_read_back_and_made_again_by_the_same_build(tmp_path):
     s = traced(tmp_path)
     busy(s, 200)
-    assert s.router.trace.recorder.size < BLOCK + MOST_LINE  # what waits for the disk is bounded
+    assert s.router.trace.recorder.size < BLOCK_BYTES + MOST_LINE  # what waits for the disk is bounded
     s.router.trace.close()
     ((header, rows),) = read(tmp_path)
     assert (
--- a/tests/test_warming_member.py
+++ b/tests/test_warming_member.py
@@ -8,11 +8,11 @@
 from twisted.internet.task import Clock
 
 from hookrouter import interface
-from hookrouter.caches.errands import Ended, request
+from hookrouter.caches.requests import SendResult, encode_request
 from hookrouter.decisions.owners.holder import Warrant
 from hookrouter.decisions.warming import messages
 from hookrouter.fleet.member.warmed import Warmed
-from hookrouter.node.heed import Heed
+from hookrouter.node.warming_observer import WarmingObserver
 
 NOW = 1_000_000
 
@@ -29,18 +29,18 @@
         control=router(),
         sent=sent,
         caches=SimpleNamespace(
-            send=lambda cache, errand, within, leave_within: sent.append((cache, errand, Deferred()))
+            send=lambda cache, request, timeout, start_within: sent.append((cache, request, Deferred()))
             or SimpleNamespace(deferred=sent[-1][2])
         ),
     )
-    node.heed = Heed(node)
+    node.warming_observer = WarmingObserver(node)
     return node
 
 
 def begun(host, until):
     events = []
     warmer = SimpleNamespace(
-        heed=host.heed,
+        warming_observer=host.warming_observer,
         router=host,
         reactor=Clock(),
         now=lambda: NOW,
@@ -51,7 +51,9 @@
         place=lambda cache: (1, 0),
         closed=lambda warmed, state, cause: events.append((state, cause)),
     )
-    host.heed.listed(SimpleNamespace(whole=False, caches=(cache("c9", born=NOW - SECOND),)), False)
+    host.warming_observer.on_cache_list(
+        SimpleNamespace(snapshot=False, caches=(cache("c9", born=NOW - SECOND),)), False
+    )
     return Warmed(warmer, "c9", Warrant("warm.edge/c9", 7, until)), events
 
 
@@ -69,35 +71,38 @@
     warmed, events = begun(host, until=501)
     warmed.table.state, warmed.table.in_flight = "warming", {FILL.name: object()}
     warmed._fill(FILL)
-    ((target, errand, deferred),) = host.sent
+    ((target, request, deferred),) = host.sent
     assert (
         target == "c9"
-        and errand.source == "c1"
-        and b"X-Fence: warm.edge/c9 7\r\n" in b"".join(request(errand, b"h"))
+        and request.source == "c1"
+        and b"X-Fence: warm.edge/c9 7\r\n" in b"".join(encode_request(request, b"h"))
     )
-    deferred.callback(Ended(interface.ERRED, refused=True))
+    deferred.callback(SendResult(interface.ERRED, fence_rejected=True))
     assert events == [("given up", messages.OLD_NUMBER)]
 
 
 def test_a_warming_ends_when_its_cache_drains_or_leaves(host):
     for phase, cause in ((interface.DRAINING, messages.DRAINED), (interface.GONE, messages.CACHE_LEFT)):
         warmed, events = begun(host, until=501)
-        host.heed.listed(
-            SimpleNamespace(whole=False, caches=(cache("c9", phase=phase, born=NOW - SECOND),)), False
+        host.warming_observer.on_cache_list(
+            SimpleNamespace(snapshot=False, caches=(cache("c9", phase=phase, born=NOW - SECOND),)), False
         )
         warmed.looked()
         assert events == [("given up", cause)]
 
 
 def test_the_router_records_its_initial_list_and_purges(host):
-    assert set(host.heed.caches) == {one.id for one in FLEET}
-    assert host.heed.edges("edge", NOW, settled=True) == ("c0", "c1", "c2", "c3") and host.heed.parents(
-        NOW
-    ) == ("p0", "p1")
-    host.heed.dropped_at(SimpleNamespace(object="k1", group=1), NOW - 50)
+    assert set(host.warming_observer.caches) == {one.id for one in FLEET}
+    assert host.warming_observer.ready_caches("edge", NOW, settled=True) == (
+        "c0",
+        "c1",
+        "c2",
+        "c3",
+    ) and host.warming_observer.warm_parents(NOW) == ("p0", "p1")
+    host.warming_observer.on_platform_purge(SimpleNamespace(object="k1", group=1), NOW - 50)
     assert (
-        0 < host.heed.age(host.kinds["clip"], "k1", 1, NOW) <= 50
-        and host.heed.age(host.kinds["clip"], "k2", 2, NOW) == 0
+        0 < host.warming_observer.max_copy_age(host.kinds["clip"], "k1", 1, NOW) <= 50
+        and host.warming_observer.max_copy_age(host.kinds["clip"], "k2", 2, NOW) == 0
     )
-    host.heed.asked(SimpleNamespace(kind="order", object="k", part=0, size=1, group=0), NOW)
-    assert not host.heed.sketch.rows  # not repeatable, so nobody fills it
+    host.warming_observer.on_lookup(SimpleNamespace(kind="order", object="k", part=0, size=1, group=0), NOW)
+    assert not host.warming_observer.sketch.rows  # not repeatable, so nobody fills it
