--- a/hookrouter/caches/__init__.py
+++ b/hookrouter/caches/__init__.py
@@ -1,6 +1,6 @@
-"""Caches, parents and the origin: their addresses, the connections to them, sends and probes.
+"""Caches, parents and the origin: their addresses, connections, sends and probes.
 
-Another protocol can stand in for HTTP here: it takes the same Errand and fires the same Ended.
+The interface allows another protocol than HTTP: it takes a CacheRequest and fires with a SendResult.
 """
 
 from .pool import CachePool
--- a/hookrouter/caches/connection.py
+++ b/hookrouter/caches/connection.py
@@ -1,4 +1,6 @@
-"""One connection to a cache: an answer at a time, held against what was asked, read while there is room."""
+"""One connection to a cache: parses one response at a time, checks it against the request, and pauses reading
+while body memory is full.
+"""
 
 from twisted.internet.protocol import ClientFactory, Protocol
 
@@ -6,22 +8,24 @@
 from ..parsers.http1 import Malformed
 from . import requests
 
-MAX_READS = 8  # in a row, 64 kB each: more than the longest answer has
+MAX_READS = 8  # in a row, 64 kB each: more than the longest response
 REVISION_FIELDS = (
     b"x-rev",
     b"x-since-ms",
     b"content-length",
-)  # fields that no two objects' copies have alike
+)  # together they differ between copies of different objects
 
 
 class Connection(Protocol):
+    """Protocol of one connection, created by CachePool."""
+
     def __init__(self, caches, endpoint):
         self.caches, self.endpoint = caches, endpoint
         self.slot = self.send = self.idle_timer = self.connector = None
         self.closing = False
-        self.received = False  # something, by the newest read
+        self.received = False  # whether the last read returned data
         self.idle_since = 0.0
-        self.previous = None  # (kind, object, part) that was asked last, and what named the copy that came
+        self.previous = None  # target of the last request, and the REVISION_FIELDS of its response
         self.parser = http1.Answers(self._on_head, self._on_body, self._on_end, requests.MAX_BODY_BYTES)
         self.head, self.pieces, self.length = None, [], 0
 
@@ -30,19 +34,19 @@
         self.caches.on_connected(self)
 
     def ready_for_request(self):
-        """Whether it can take a request: what came unasked, or its end, may lie unread before the reactor."""
+        """Whether a request can be written: unexpected data, or the end, may be unread by the reactor."""
         if self.transport.doRead() is not None:
             self.close()
         return not self.closing
 
     def read_pending(self):
-        """Takes in all that lies unread: after a pause of the process its deadlines come before its reads."""
+        """Reads all available input: after a pause of the process timers run before reads."""
         for _ in range(MAX_READS):
             if self.closing or self.send is None or self in self.caches.body_memory.waiting:
                 return
             self.received = False
             if self.transport.doRead() is not None or not self.received:
-                return  # its end is told by the reactor
+                return  # the reactor reports the end
 
     def dataReceived(self, data):
         self.received = True
@@ -50,7 +54,7 @@
             return
         if self.send is None:
             self.caches.count("caches_unasked")
-            self.close()  # nothing was asked
+            self.close()  # no request is outstanding
             return
         try:
             self.parser.feed(data)
@@ -66,25 +70,26 @@
             self.transport.pauseProducing()
 
     def resume(self):
+        """Resumes reading; called by the body memory."""
         self.transport.resumeProducing()
 
     def _on_head(self, answer):
         if self.send is None or self.head is not None:
-            raise Malformed("an answer to nothing")
+            raise Malformed("a response without a request")
         if answer.status == 304 and (
             self.send.client_revision is None or answer.fields.get(b"x-rev") != self.send.client_revision
         ):
-            raise Malformed("304 where there is no such copy")
+            raise Malformed("304 for a revision that was not requested")
         if answer.status == 200 and b"x-rev" in answer.fields:
             target, revision = self.send.target, [answer.fields.get(name) for name in REVISION_FIELDS]
             if self.previous is not None and self.previous[0] != target and self.previous[1] == revision:
-                raise Malformed("the answer before, once more")
+                raise Malformed("repeated response of the previous request")
             self.previous = target, revision
         self.head = answer
 
     def _on_body(self, piece):
         if self.send is None:
-            raise Malformed("a body to nothing")
+            raise Malformed("a body without a request")
         self.pieces.append(piece)
         self.length += len(piece)
         self.caches.body_memory.take(len(piece))
@@ -96,13 +101,13 @@
         self.caches.on_disconnected(self)
 
     def discard_response(self):
-        """Gives back what its send has received."""
+        """Releases the memory of the response received so far."""
         self.caches.body_memory.leave(self)
         self.caches.body_memory.give_back(self.length)
         self.head, self.pieces, self.length = None, [], 0
 
     def close(self):
-        """Ends it at once, whether it is up or not."""
+        """Closes at once, whether connected or connecting."""
         self.closing = True
         if self.transport is not None:
             self.transport.abortConnection()
@@ -111,7 +116,7 @@
 
 
 class ConnectionFactory(ClientFactory):
-    """One connection's way up."""
+    """Factory of one outgoing connection."""
 
     noisy = False
 
--- a/hookrouter/caches/pool.py
+++ b/hookrouter/caches/pool.py
@@ -1,8 +1,8 @@
-"""Connections to caches, one request at a time each, kept for the next one; sends and probes over them.
+"""Pool of connections to caches, with one request at a time each; sends and probes over them.
 
-A connection owns its descriptor's slot and gives it back when it is gone. A send owns its deadline and its
-connection while it runs, gives both back when it ends, and then fires its Deferred, once. One that is given
-up has ended when its connection is closed, not before: the next send of its lookup may be out at once.
+A connection owns its descriptor slot and releases it when it is gone. A send owns its timers and its
+connection while it runs, releases both at its end, and then fires its Deferred once. A send that is cancelled
+ends only when its connection is closed, because the next send of its lookup may start at once.
 """
 
 from collections import deque
@@ -14,10 +14,12 @@
 from .connection import Connection, ConnectionFactory
 from .send import Endpoint, Send, always_wanted
 
-MIN_IDLE = 0.02  # seconds: an answer's double comes some milliseconds late and must not pass for the next
+MIN_IDLE = 0.02  # seconds: duplicates of a response arrive within milliseconds; this tells them from the next
 
 
 class CachePool:
+    """Addresses of caches, connections and sends. limit: of connections; body_memory: for responses."""
+
     def __init__(self, reactor, deadlines, body_memory, limit, terms, log, count):
         self.reactor, self.deadlines, self.body_memory, self.log, self.count = (
             reactor,
@@ -27,18 +29,20 @@
             count,
         )
         self.connect_timeout = terms.connect_timeout / SECOND
-        # Left before the cache closes it, by the time a connection may take: no request crosses the close.
+        # Closed before the cache closes it, by the connect timeout: no request crosses the close.
         self.idle_timeout = max(0, terms.idle_timeout - terms.connect_timeout) / SECOND
         self.report_fields = terms.report_fields if terms.report_mode != "none" else ()
         self.endpoints = {}
         self.connections = Slots(limit)
-        self.idle = {}  # connections that wait for the next send, the longest idle first
-        self.waiting = deque()  # sends without a descriptor
+        self.idle = {}  # idle connections, the longest idle first
+        self.waiting = deque()  # sends that wait for a descriptor
 
     # ---- addresses
 
     def update(self, name, address, born):
-        """A cache listens there. What was open to another process at this address or of this name goes."""
+        """Sets the address of a cache. Idle connections to another process at this address or of this name
+        are closed.
+        """
         previous = self.endpoints.get(name)
         if previous is not None and (previous.host, previous.port) == address and previous.born == born:
             return
@@ -48,11 +52,13 @@
         self.endpoints[name] = Endpoint(name, address, born)
 
     def remove(self, name):
+        """Removes a cache; its active sends go on."""
         endpoint = self.endpoints.pop(name, None)
         if endpoint is not None:
             self._close_idle_connections(endpoint)
 
     def keep_only(self, names):
+        """Removes all caches but the named ones."""
         for name in [name for name in self.endpoints if name not in names]:
             self.remove(name)
 
@@ -63,8 +69,8 @@
     # ---- sends and probes
 
     def send(self, name, request, timeout, start_within, is_wanted=always_wanted):
-        """The Send, on its way; silent for that many seconds, it is late, and not written within so many it
-        never is.
+        """Starts a send and returns it. It ends as LATE after timeout seconds, and is not written after
+        start_within seconds or if is_wanted() is false.
         """
         self.count("sends")
         endpoint = self.endpoints.get(name)
@@ -83,16 +89,17 @@
         return self._launch(send, timeout, start_within)
 
     def probe(self, name):
+        """Starts a probe and returns it as a Send."""
         self.count("probes")
         endpoint = self.endpoints.get(name)
         if endpoint is None:
             return self._send_to_unknown()
-        # No time is stated for a probe but that of a connection.
+        # The settings state no timeout for probes but that of connections.
         send = Send(self, endpoint, requests.encode_probe(self.report_fields, endpoint.host_field))
         return self._launch(send, self.connect_timeout, self.connect_timeout)
 
     def _send_to_unknown(self):
-        """A send to a cache that was forgotten since it was picked: it never leaves."""
+        """A send to a cache that was removed after Control selected it; it is never written."""
         send = Send(self, None, ())
         send.timeout_timer = self.deadlines.after(0, self.abort, send, interface.VOID)
         return send
@@ -119,7 +126,7 @@
             self.waiting.append(send)
             self.log("all descriptors for caches are taken, sends wait")
             self.count("sends_waited")
-            if self.idle:  # the longest idle gives its descriptor up
+            if self.idle:  # closes the longest idle one for its descriptor
                 self._close_connection(next(iter(self.idle)))
             return
         self.count("connections")
@@ -129,7 +136,7 @@
         )
 
     def _write_request(self, send, connection):
-        """The one place where a request leaves: none does that nobody waits for, nor past its last moment."""
+        """The only place where a request is written; not if the client is gone or the start is overdue."""
         connection.send, send.connection = send, connection
         if send.start_timer is not None and self.deadlines.due(send.start_timer, 0):
             self.abort(send, interface.UNREACHED)
@@ -139,19 +146,20 @@
             send.written = True
             self.deadlines.drop(send.start_timer)
             connection.transport.writeSequence(send.pieces)
-            connection.transport.doWrite()  # now, and not after all else that the reactor has read
+            connection.transport.doWrite()  # now, not after all other events of the reactor
 
     def on_timeout(self, send):
+        """Ends a send whose timeout is over, unless its response has arrived unread."""
         if send.written and send.result is None:
-            send.connection.read_pending()  # an answer that came in time may lie unread
+            send.connection.read_pending()  # a response that arrived in time may be unread
         if send.written:
             outcome = interface.LATE
-        else:  # it never left: for want of a descriptor, or of an answer to the connection
+        else:  # not written: no descriptor, or not connected
             outcome = interface.VOID if send.connection is None else interface.UNREACHED
         self.abort(send, outcome)
 
     def abort(self, send, outcome):
-        """Ends so, once its connection is closed, unless it has its end already."""
+        """Ends a send with that outcome once its connection is closed, unless it has a result already."""
         if send.result is not None:
             return
         send.result = requests.SendResult(outcome)
@@ -164,7 +172,7 @@
             self._finish(send)
 
     def _finish(self, send):
-        """The one end of a send: it holds nothing from here on."""
+        """The only place where a send ends: it holds no resources afterwards."""
         self.deadlines.drop(send.timeout_timer)
         self.deadlines.drop(send.start_timer)
         connection, send.connection = send.connection, None
@@ -176,6 +184,7 @@
     # ---- connections
 
     def on_connected(self, connection):
+        """A connection is established: writes its request."""
         if connection.send.result is None:
             self._write_request(connection.send, connection)
 
@@ -183,7 +192,7 @@
         self.abort(send, interface.VOID if send.connection is None else interface.UNREACHED)
 
     def on_disconnected(self, connection):
-        """The one place where a connection's descriptor is given back."""
+        """The only place where a connection's descriptor slot is released."""
         self._take_from_idle(connection)
         self.connections.give_back(connection.slot)
         connection.transport = connection.connector = None
@@ -197,11 +206,14 @@
             self._start(self.waiting.popleft())
 
     def on_response(self, connection):
+        """A response is complete: ends its send, keeps or closes the connection."""
         send, head = connection.send, connection.head
         send.result = requests.read_result(
             head, tuple(connection.pieces), connection.length, self.report_fields
         )
-        if connection.parser.buffer:  # passed on, for its length says so, but not kept: that may be wrong
+        if (
+            connection.parser.buffer
+        ):  # passed on as its length says, but not stored, as the length may be wrong
             send.result = send.result._replace(storable_issued_at=None)
         connection.send = send.connection = None
         connection.discard_response()
@@ -212,6 +224,7 @@
         self._finish(send)
 
     def on_malformed_response(self, connection):
+        """Ends the send of a connection whose response is invalid as BROKEN."""
         if connection.send is not None:
             self.abort(connection.send, interface.BROKEN)
         else:
@@ -226,7 +239,7 @@
                 return
         if (
             not is_current or self.waiting or self.idle_timeout <= 0
-        ):  # not its cache's now, or wanted elsewhere
+        ):  # the cache has moved, or the descriptor is needed
             connection.close()
             return
         connection.idle_since = self.deadlines.clock.seconds()
--- a/hookrouter/caches/requests.py
+++ b/hookrouter/caches/requests.py
@@ -1,4 +1,4 @@
-"""What a send carries to a cache, as the head of a request, and what its answer says."""
+"""Encodes the requests to a cache, and interprets its responses."""
 
 from typing import NamedTuple
 from urllib.parse import quote
@@ -7,8 +7,8 @@
 from ..parsers import http1
 from ..terms import UNITS_PER_MS
 
-MAX_TIME_DIGITS = 15  # of a time in milliseconds: years have 13
-MAX_BODY_BYTES = 240_000  # bytes, of any object's part
+MAX_TIME_DIGITS = 15  # in a time in milliseconds: current times have 13
+MAX_BODY_BYTES = 240_000  # of any part of an object
 COPY_STATUS_BY_RESULT = {
     b"hit": interface.FOUND,
     b"filled": interface.FILLED,
@@ -19,7 +19,9 @@
 
 
 class CacheRequest(NamedTuple):
-    """One send; ids as the client gave them. source None: what the cache holds, or what the origin does."""
+    """One send. Ids are as given by the client; timeout and max_age in tenths of a millisecond, 0 for any
+    age. source: where a fill comes from; None for what the cache holds, or the origin itself.
+    """
 
     kind: str
     trace: str
@@ -36,34 +38,35 @@
     hits_only: bool = False
     no_store: bool = False
     revalidate: bool = False
-    not_repeatable: bool = False  # it may not simply be repeated
+    not_repeatable: bool = False  # running it twice would have an effect
     fencing_token: str = (
-        ""  # "DUTY NUMBER" of an owner's send: the cache refuses a lower number than it has seen
+        ""  # "DUTY NUMBER" of an owner's send: the cache rejects a number lower than it has seen
     )
 
 
 class SendResult(NamedTuple):
-    """How a send or probe ended; the body in pieces, as they came."""
+    """How a send or probe ended; the body is in pieces as received."""
 
     outcome: str
     copy_status: int = 0
     report: tuple | None = None
     pieces: tuple = ()
     length: int = 0
-    not_modified: bool = False  # the client's own copy is the one
-    storable_issued_at: int | None = None  # when the origin gave this copy out, where it may be kept
+    not_modified: bool = False  # the client's own copy is current
+    storable_issued_at: int | None = None  # issued_at, if the router may store this copy
     revision: str = ""
-    issued_at: int | None = None  # when the origin gave out the copy that answered, kept or not
-    tags: str | None = None  # of that copy, as it says
-    fence_rejected: bool = False  # the cache has seen a higher number of that duty
+    issued_at: int | None = None  # when the origin issued the copy, storable or not
+    tags: str | None = None  # surrogate tags of the copy, as in the response
+    fence_rejected: bool = False  # the cache has seen a higher fencing token
 
 
 def encode_ms(tenths):
-    """Whole milliseconds, down; what is left of one is one, for none means without limit."""
+    """Whole milliseconds, rounded down but at least 1, because 0 would mean no limit."""
     return b"%d" % max(1, tenths // UNITS_PER_MS)
 
 
 def encode_request(request, host):
+    """HTTP request of a send. host: value of the Host field."""
     target = f"/fetch/{quote(request.kind, safe='')}/{request.object}/{request.part}".encode()
     fields = [
         (b"Host", host),
@@ -94,17 +97,20 @@
         fields.append((b"X-Seen", request.client_revision.encode()))
     if request.fencing_token:
         fields.append((b"X-Fence", request.fencing_token.encode()))
-    if request.body:  # a write's goes with the one method that there is
+    if request.body:  # writes use GET as well, the only method of the protocol
         fields.append((b"Content-Length", b"%d" % len(request.body)))
     return http1.request(b"GET", target, fields, request.body)
 
 
 def encode_probe(load_reports, host):
+    """HTTP request of a probe, with a load report where the deployment has them."""
     return http1.request(b"GET", b"/busy" if load_reports else b"/ping", [(b"Host", host)])
 
 
 def read_result(answer, pieces, length, report_fields):
-    """What a whole answer says; names: the fields of load reports, where these come at all."""
+    """SendResult of a complete response. report_fields: names of the fields of load reports, () without
+    reports.
+    """
     declined = answer.fields.get(b"x-declined") == b"1"
     outcome = {200: interface.SATISFIED, 304: interface.SATISFIED, 404: interface.MISSING}.get(
         answer.status, interface.ERRED
@@ -130,7 +136,7 @@
 
 
 def read_issued_at(answer):
-    """X-Since-Ms, Unix milliseconds, in tenths; None where it is not told."""
+    """X-Since-Ms (Unix milliseconds) in tenths of a millisecond; None if it is missing or invalid."""
     issued_at = answer.fields.get(b"x-since-ms", b"")
     return (
         int(issued_at) * UNITS_PER_MS if issued_at.isdigit() and len(issued_at) <= MAX_TIME_DIGITS else None
--- a/hookrouter/caches/send.py
+++ b/hookrouter/caches/send.py
@@ -1,4 +1,4 @@
-"""One send on its way to a cache, and the place it goes to. What becomes of it is the pool's."""
+"""One send to a cache, and the endpoint it goes to; CachePool controls both."""
 
 from twisted.internet.defer import Deferred
 
@@ -7,22 +7,23 @@
 
 
 class Endpoint:
-    """Where a cache listens, and the idle connections to it, the last used last."""
+    """Address of a cache and the idle connections to it, the last used last."""
 
     __slots__ = ("name", "host", "port", "host_field", "born", "idle")
 
     def __init__(self, name, address, born):
         self.name, self.born, self.idle = name, born, []
         self.host, self.port = address
-        self.host_field = f"{self.host}:{self.port}".encode()  # of each request's head
+        self.host_field = f"{self.host}:{self.port}".encode()  # value of the Host field
 
 
 def always_wanted():
+    """is_wanted of sends that no client can withdraw."""
     return True
 
 
 class Send:
-    """One request and its Deferred, which fires with Ended."""
+    """One request and its Deferred, which fires with SendResult."""
 
     __slots__ = (
         "caches",
@@ -51,20 +52,16 @@
         is_wanted=always_wanted,
     ):
         self.caches, self.endpoint, self.pieces = caches, endpoint, pieces
-        self.client_revision = client_revision  # the tag of the client's copy, which may be the one
+        self.client_revision = client_revision  # revision of the client's copy, which may be current
         self.target = target  # kind, object, part
-        self.not_repeatable = (
-            not_repeatable  # what the cache says of it must be its own: it may not simply be repeated
-        )
-        self.is_wanted = (
-            is_wanted  # whether anybody waits for it still: asked in the moment before it is written
-        )
+        self.not_repeatable = not_repeatable  # needs a connection on which no stale response can arrive
+        self.is_wanted = is_wanted  # checked just before the request is written
         self.deferred = Deferred()
         self.timeout_timer = self.start_timer = self.connection = self.result = None
         self.written = False
 
     def cancel(self):
-        """Closes its connection; it ends as cancelled unless it has ended, or its time is over just now."""
+        """Closes its connection; the outcome is CANCELLED unless it has ended or its timeout is due now."""
         if self.caches.deadlines.due(self.timeout_timer, 1 / SECOND):
             self.caches.on_timeout(self)
         else:
--- a/hookrouter/feed/__init__.py
+++ b/hookrouter/feed/__init__.py
@@ -1,7 +1,8 @@
-"""The control feed: numbered events, each told once and in order, as lists of caches and purges.
+"""The platform's control feed: numbered events, each delivered once and in order, with cache lists and
+purges.
 
-Another protocol can stand in for server-sent events: it makes the same two calls of its desk, listed and
-purged.
+The interface allows another protocol than server-sent events: it calls on_cache_list and on_purge of its
+handler.
 """
 
 from .events import read_known
--- a/hookrouter/feed/events.py
+++ b/hookrouter/feed/events.py
@@ -1,4 +1,4 @@
-"""One numbered event, read: a list of caches with their addresses, or a purge."""
+"""Parses numbered events of the platform's feed: cache lists with addresses, and purges."""
 
 import json
 from typing import NamedTuple
@@ -10,6 +10,8 @@
 
 
 class CacheListEvent(NamedTuple):
+    """The complete list of caches (snapshot), or changes of it."""
+
     number: int
     snapshot: bool
     caches: tuple
@@ -17,13 +19,16 @@
 
 
 class PurgeEvent(NamedTuple):
+    """A purge of one object or of a whole group."""
+
     number: int
     purged_at: int  # Unix time in tenths of a millisecond
     group: int
-    object: str | None  # none: the whole group
+    object: str | None  # None: the whole group
 
 
 def read_address(value, key):
+    """(host, port) of "HOST:PORT"; Malformed names the key."""
     host, _, port = terms.read_text(value, key).rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) < 65536:
         raise Malformed(f"{key}: an address and a port are wanted, not {terms.excerpt(value)}")
@@ -31,6 +36,7 @@
 
 
 def read_cache(row):
+    """(interface.Cache, address) of one row of a cache list."""
     row = terms.SettingsReader(row, "endpoints")
     cache = interface.Cache(
         id=row.get("name", terms.read_text),
@@ -45,6 +51,7 @@
 
 
 def read_event(event):
+    """An event from its parsed JSON; Malformed names what is missing or invalid."""
     event = terms.SettingsReader(event, "event")
     number = event.get("n", terms.read_integer)
     if "members" in event.values:
@@ -69,7 +76,7 @@
 
 
 def parse_event(data):
-    """From the bytes of one event; Malformed, whatever they are."""
+    """An event from its bytes; Malformed for any invalid input."""
     try:
         return read_event(json.loads(data))
     except (ValueError, RecursionError) as error:
@@ -77,7 +84,7 @@
 
 
 def read_known(known):
-    """The events as of the start: the last number, and each event in order."""
+    """(number of the last event, events in order) known at the start of a router."""
     known = terms.SettingsReader(known, "known")
     return known.get("n", terms.read_integer), [
         read_event(event) for event in known.get("events", terms.read_array)
--- a/hookrouter/feed/follower.py
+++ b/hookrouter/feed/follower.py
@@ -1,4 +1,4 @@
-"""Follows the control feed: one connection, resumed after any end from the last number told."""
+"""Follows the platform's feed over one connection, resumed after the last event number when it ends."""
 
 from twisted.internet.protocol import ClientFactory, Protocol
 
@@ -6,16 +6,20 @@
 from . import events
 
 SILENCE_TIMEOUT = (
-    1.8  # seconds: a comment comes every second; what a feed has counts as told 4 s after it stops
+    1.8  # seconds: a comment comes every second; an event counts as delivered 4 s after the feed falls silent
+)
+CONNECT_TIMEOUT = 1.0  # seconds: more than any connection within a site takes
+MIN_PAUSE = 0.05  # seconds before the next connection, doubled each time the last one brought nothing
+MAX_PAUSE = (
+    0.4  # seconds: an event counts as delivered 2 s after a disconnect; refused connections cost little
 )
-CONNECT_TIMEOUT = 1.0  # seconds for a connection: more than any way within a site takes
-MIN_PAUSE = 0.05  # seconds before the next connection, doubled each time nothing came over the last
-MAX_PAUSE = 0.4  # seconds: what a feed has counts as told 2 s after it broke off; refusals cost little
 MALFORMED_EVENT_ADVICE = "look at the feed's version; the event is lost, the place is kept"
-MAX_STREAM_BYTES = 2**60  # bytes: one connection may carry events for as long as it lasts
+MAX_STREAM_BYTES = 2**60  # no limit: one connection carries events for as long as it lasts
 
 
 class Stream(Protocol):
+    """Protocol of one connection to the feed."""
+
     def __init__(self, feed):
         self.feed, self.reason = feed, None
         self.parser = http1.Answers(
@@ -63,6 +67,8 @@
 
 
 class StreamFactory(ClientFactory):
+    """Factory of one connection to the feed."""
+
     noisy = False
 
     def __init__(self, stream):
@@ -76,7 +82,10 @@
 
 
 class Feed:
-    """desk: what is told of events, listed(event) and purged(event). last: the number told so far."""
+    """Follows the feed.
+
+    handler: gets on_cache_list(event) and on_purge(event). last_number: of the last event delivered.
+    """
 
     path, connection_counter = b"/v1/events", "feed_connections"
     ended_message = "feed connection ended, a new one follows"
@@ -95,6 +104,7 @@
         self.stopped = False
 
     def start(self):
+        """Opens a connection."""
         if self.stopped:
             return
         self.count(self.connection_counter)
@@ -105,17 +115,18 @@
         )
 
     def request_fields(self):
-        """Of the request: from where on."""
+        """Header fields of the request that state where to resume."""
         return [(b"Last-Event-ID", b"%d" % self.last_number)]
 
     def stop(self):
+        """Closes the connection and opens no other."""
         self.stopped = True
         self.deadlines.drop(self.timer)
         if self.stream is not None:
             self.abort(self.stream, "stopped")
 
     def move(self, address):
-        """The feed is elsewhere now; the numbers go on."""
+        """Follows the feed at another address, from the same event number on."""
         if address == (self.host, self.port):
             return
         self.host, self.port = address
@@ -127,20 +138,22 @@
             self.start()
 
     def apply_known(self, events):
-        """Events from elsewhere, in order; those that leave numbers out are left to the feed."""
+        """Delivers events from elsewhere, in order; those after a gap in the numbers are left to the feed."""
         for event in events:
             if event.number == self.last_number + 1:
                 self._deliver(event)
 
     def on_rejected(self, answer):
-        """Another status than 200 came."""
+        """The response has another status than 200; for subclasses."""
 
     def on_activity(self, stream):
-        if stream is self.stream:  # a late byte of an old one must not take the next one's timer away
+        """Restarts the silence timer after a connection or input."""
+        if stream is self.stream:  # late input of an old connection must not restart the timer of the next
             self.deadlines.drop(self.timer)
             self.timer = self.deadlines.after(SILENCE_TIMEOUT, self.abort, stream, "silent")
 
     def abort(self, stream, reason):
+        """Closes the connection, if it is the current one."""
         if stream is not self.stream:
             return
         stream.reason = reason
@@ -150,10 +163,10 @@
             self.connector.stopConnecting()
 
     def on_disconnected(self, stream, reason):
-        """The one place where a connection, or the way to it, is over."""
+        """The only place where a connection, or an attempt to connect, is over."""
         stream.transport = None
         if stream is not self.stream:
-            return  # its end was told before
+            return  # its end was handled before
         self.deadlines.drop(self.timer)
         self.stream = self.connector = None
         if not self.stopped:
@@ -162,6 +175,7 @@
             self.pause = min(MAX_PAUSE, 2 * self.pause)
 
     def on_event(self, stream, data):
+        """Delivers an event unless it was delivered before; invalid ones are skipped."""
         if stream is not self.stream:
             return
         try:
@@ -174,7 +188,7 @@
             self.count("feed_malformed")
             return
         if event.number <= self.last_number:
-            return  # told already
+            return  # already delivered
         if event.number > self.last_number + 1:
             self.log("feed left numbers out", f"{event.number} came after {self.last_number}")
             self.count("feed_gaps")
--- a/hookrouter/feed/http_client.py
+++ b/hookrouter/feed/http_client.py
@@ -1,4 +1,4 @@
-"""Calls over HTTP/1.1 to one address: one at a time over one connection, kept for the next."""
+"""HTTP/1.1 client for one address, with one call at a time over a connection that is kept for the next."""
 
 from twisted.internet.defer import Deferred
 from twisted.internet.error import ConnectionAborted, TimeoutError
@@ -7,10 +7,12 @@
 
 from ..parsers import http1
 
-MAX_BODY_BYTES = 1_000_000  # bytes
+MAX_BODY_BYTES = 1_000_000  # of one response
 
 
 class Connection(Protocol):
+    """Protocol of one connection, created by HttpClient."""
+
     def __init__(self, client):
         self.client = client
         self.parser = http1.Answers(self._on_head, self._on_body, self._on_end, client.max_body)
@@ -44,6 +46,8 @@
 
 
 class ConnectionFactory(ClientFactory):
+    """Factory of one outgoing connection."""
+
     noisy = False
 
     def __init__(self, connection):
@@ -57,21 +61,22 @@
 
 
 class HttpClient:
-    """Owns its connection and the one call that is out: its Deferred fires once, and its deadline goes with
-    it.
-    """
+    """Owns its connection and the call in progress, whose Deferred fires once and takes its timer with it."""
 
     def __init__(self, reactor, deadlines, address, max_body=MAX_BODY_BYTES):
-        """longest: bytes of an answer, at most."""
+        """address: (host, port). max_body: limit of a response's body in bytes."""
         self.reactor, self.deadlines, self.address, self.max_body = reactor, deadlines, address, max_body
         self.connection = self.connector = self.call = self.pieces = self.timer = None
         self.connected = False
 
     def busy(self):
+        """Whether a call is in progress."""
         return self.call is not None
 
     def start(self, method, target, fields, body, timeout):
-        """A Deferred of (status, body); it fails after that many seconds, or with the connection."""
+        """Starts a call; returns a Deferred of (status, body), which fails after timeout seconds or with the
+        connection.
+        """
         host, port = self.address
         self.pieces = http1.request(
             method,
@@ -91,6 +96,7 @@
         return call
 
     def on_connected(self, connection):
+        """Writes the request of the call in progress."""
         if connection is not self.connection:
             connection.transport.abortConnection()
             return
@@ -99,20 +105,21 @@
             connection.transport.writeSequence(self.pieces)
 
     def on_response(self, connection, head, body):
+        """Ends the call with a complete response."""
         if connection is self.connection:
             if not head.keep:
                 self._drop()
             self._finish_call().callback((head.status, body))
 
     def fail(self, connection, failure):
-        """Ends the connection, and the call that is out."""
+        """Closes the connection and fails the call in progress."""
         if connection is self.connection:
             self._drop()
             if self.call is not None:
                 self._finish_call().errback(failure)
 
     def on_disconnected(self, connection, failure):
-        """It has ended by itself, or never came up: there is nothing left to close."""
+        """The connection ended or could not be established, so there is nothing left to close."""
         if connection is self.connection:
             self.connection, self.connector, self.connected = None, None, False
             if self.call is not None:
@@ -122,6 +129,7 @@
         self.fail(self.connection, Failure(TimeoutError()))
 
     def stop(self):
+        """Closes the connection and fails the call in progress."""
         self.fail(self.connection, Failure(ConnectionAborted()))
 
     def _finish_call(self):
@@ -130,7 +138,7 @@
         return call
 
     def _drop(self):
-        """Ends the connection, whether it is up or on its way; the next call makes a new one."""
+        """Closes the connection, established or not; the next call opens a new one."""
         connection, connector, connected = self.connection, self.connector, self.connected
         self.connection, self.connector, self.connected = None, None, False
         if connected and connection.transport is not None:
--- a/hookrouter/feed/purges.py
+++ b/hookrouter/feed/purges.py
@@ -1,4 +1,4 @@
-"""Follows the desk or a relay: purges in order into a Place, and a lease renewed by what was applied."""
+"""Follows the desk or a relay: applies purges in order, and renews a lease by what was applied."""
 
 import time
 from time import CLOCK_BOOTTIME, clock_gettime_ns
@@ -13,14 +13,18 @@
 
 
 def steady():
-    """A clock that no one sets, and that goes on while the machine sleeps; tenths of a millisecond."""
+    """Monotonic clock that goes on while the machine is suspended, in tenths of a millisecond."""
     return clock_gettime_ns(CLOCK_BOOTTIME) // 100_000
 
 
 class PurgeFeed(Feed):
-    """desk: who is told, heard(epoch), purged(purges), whole(purges, newest), granted(asked, answered, span,
-    desk), each time in tenths of a millisecond, asked by the steady clock; adopt(slice), which takes in a
-    sealed slice, a Deferred where that lasts; and place(n), what may be answered for."""
+    """Follower of the fleet-wide purges.
+
+    handler: gets on_epoch(epoch), on_purges(purges), on_snapshot(purges, newest), on_grant(requested_at,
+    wall, span, desk_wall) with times in tenths of a millisecond and requested_at by the steady clock, and
+    adopt(slice), which merges a sealed slice and may return a Deferred; it is asked acknowledged(n) for the
+    positions to acknowledge.
+    """
 
     path, connection_counter = b"/v1/feed", "purge_connections"
     ended_message = "purge feed connection ended, a new one follows"
@@ -39,11 +43,11 @@
         wall=time.time,
         steady=steady,
     ):
-        """addresses: of which one has the desk at a time; the next is tried where one has not."""
+        """addresses: only one of them has the desk at a time; the next one is tried if it is not there."""
         super().__init__(reactor, deadlines, handler, addresses[0], 0, log, count)
         self.addresses, self.hint = tuple(addresses), None
         self.place, self.name, self.relay = Place(), name, relay
-        self.generation = int(wall() * 1_000)  # a later life has a later one
+        self.generation = int(wall() * 1_000)  # higher after each restart
         self.secret, self.skew = purges["secret"], purges["skew"]
         self.renewals = Renewals(
             reactor,
@@ -70,12 +74,13 @@
         self.pacing = None
 
     def pace(self):
-        """With [admission]: it comes back by jitter, or when it is told to."""
+        """Enables [admission]: reconnects by jitter, or when the server says so."""
         from .reconnect_pacing import ReconnectPacing
 
         self.pacing = ReconnectPacing(self.handler)
 
     def request_fields(self):
+        """Header fields of the request: identity, position, slices, epoch, and the pacing's fields."""
         paced = [] if self.pacing is None else self.pacing.request_fields()
         return [
             *paced,
@@ -93,14 +98,16 @@
         return self.host, self.port
 
     def start(self):
+        """Opens a connection and begins to renew the lease."""
         if self.pacing is not None:
             self.pacing.on_connect()
         super().start()
         self.renewals.start()
 
-    # ---- what comes
+    # ---- events
 
     def on_event(self, stream, data):
+        """Handles an event; invalid ones and those of a lower epoch end the connection."""
         if stream is not self.stream:
             return
         try:
@@ -115,7 +122,7 @@
                 epoch=event.epoch,
                 heard=self.place.seen,
             )
-            self.abort(stream, "a former life of the desk")
+            self.abort(stream, "an event of a lower epoch")
             return
         self.handler.on_epoch(event.epoch)
         if event.t != "begin" and self.place.parts is None:
@@ -156,28 +163,31 @@
         self.handler.on_snapshot(purges, newest)
         self.slices.go()
 
-    # ---- sealed purges
+    # ---- sealed slices
 
     def catching_up(self):
         """Whether slices are missing."""
         return self.place.catch_up.pending
 
     def adopt(self, state):
+        """Passes a fetched slice to the handler."""
         return self.handler.adopt(state)
 
     def caught_up(self):
+        """All slices are applied: acknowledges them."""
         self.renew_soon()
 
     def list_anew(self):
+        """Requests another snapshot, as listed slices cannot be fetched."""
         self.place.list_anew()
         if self.stream is not None:
             self.abort(self.stream, "slices have to be listed anew")
 
     def _heartbeat(self, stream, event):
-        """The silence of the feed is over; the lease has its own calls."""
+        """Nothing to do: it ends the silence of the feed, and the lease has calls of its own."""
 
     def on_rejected(self, answer):
-        """One that has not the desk says who has; believed where it is one of those that the file names."""
+        """A server without the desk names the one with it; used if it is a configured address."""
         if self.pacing is not None:
             self.pacing.on_rejected(answer)
         location = answer.fields.get(b"x-desk") or answer.fields.get(b"x-elsewhere") or b""
@@ -185,7 +195,8 @@
         if port.isdecimal() and (host, int(port)) in self.addresses:
             self.hint = host, int(port)
 
-    def on_disconnected(self, stream, why):
+    def on_disconnected(self, stream, reason):
+        """Chooses the next address and the pause before it is tried."""
         self.place.broken()
         keep_address = False
         if self.pacing is not None:
@@ -194,7 +205,7 @@
             next_index = self.addresses.index((self.host, self.port)) + 1
             self._use_address(self.hint or self.addresses[next_index % len(self.addresses)])
             self.hint = None
-        super().on_disconnected(stream, why)
+        super().on_disconnected(stream, reason)
 
     def _use_address(self, address):
         self.host, self.port = address
@@ -203,11 +214,12 @@
     # ---- the lease
 
     def renew_soon(self):
-        """It has news: what it has applied is answered for."""
+        """Renews the lease soon, to acknowledge what was applied."""
         self.renewals.soon()
 
     def renewal(self, leave):
-        # Nothing is answered for while slices are missing.
+        """The renewal request to send now. leave: the follower stops answering."""
+        # Nothing is acknowledged while slices are missing.
         min_live, min_all = (
             (-1, -1) if self.catching_up() else self.handler.acknowledged(self.place.position.n)
         )
@@ -224,25 +236,27 @@
         )
 
     def on_grant(self, requested_at, wall, granted):
+        """A renewal was answered; False if the answer has a lower epoch and is ignored."""
         if not self.place.epoch(granted.epoch):
             return False
         self.handler.on_grant(requested_at, wall, granted.span, granted.at)
         return True
 
     def move(self, addresses):
-        """The desk is elsewhere now; place and lease go on."""
+        """Follows the desk at other addresses; position and lease stay."""
         self.addresses, self.hint = tuple(addresses), None
         if (self.host, self.port) not in self.addresses:
             self.renewals.move(self.addresses[0])
             super().move(self.addresses[0])
 
     def stop(self):
+        """Closes all connections."""
         super().stop()
         self.slices.stop()
         self.renewals.stop()
 
     def leave(self):
-        """Says that it answers nothing any more, then stops. A Deferred that fires in any case."""
+        """Tells the desk that this follower stops answering, then stops; the Deferred never fails."""
         return self.renewals.leave().addErrback(lambda _: None).addCallback(lambda _: self.stop())
 
 
--- a/hookrouter/feed/reconnect_pacing.py
+++ b/hookrouter/feed/reconnect_pacing.py
@@ -1,27 +1,28 @@
-"""A follower's way back with [admission]: what it says of itself, what it is told, and how long it waits."""
+"""Reconnects of a follower with [admission]: the fields it sends, the deferral it receives, and its pause."""
 
 from random import Random
 
 from ..decisions.admission import reconnect
 from ..terms import SECOND
 
-REDIRECT_PAUSE = 500  # 50 ms: sent to where there is room, it goes there soon
+REDIRECT_PAUSE = 500  # 50 ms: a follower redirected to a server with room connects there soon
 
 
 def read_whole(fields, name, default=0):
+    """An integer from a header field, or the default if it is missing or invalid."""
     value = fields.get(name, b"")
     return int(value) if value.isdigit() and len(value) <= 12 else default
 
 
 class ReconnectPacing:
-    """desk: whose left() is what remains of the lease, tenths of a millisecond."""
+    """Pacing of one follower. lease_holder: lease_left() in tenths of a millisecond."""
 
     def __init__(self, lease_holder):
         self.lease_holder, self.reconnector = lease_holder, reconnect.Reconnector(Random())
         self.deferral = None
 
     def request_fields(self):
-        """Of a request: the lease that is left, and the ticket."""
+        """Header fields of a request: the remaining lease, and the ticket if there is one."""
         ticket = self.reconnector.ticket
         return [
             (b"X-Lease", b"%d" % self.lease_holder.lease_left()),
@@ -29,18 +30,23 @@
         ]
 
     def on_connect(self):
+        """A connection is being opened."""
         self.deferral = None
         self.reconnector.step(reconnect.CONNECT)
 
     def on_admitted(self):
+        """The server has admitted the follower."""
         self.reconnector.step(reconnect.ADMITTED)
 
     def on_rejected(self, answer):
+        """Keeps the fields of a response that asks to wait."""
         if b"x-wait" in answer.fields:
             self.deferral = answer.fields
 
     def pause(self, redirected):
-        """(seconds until the next connection, whether the gateway stays the same). sent: elsewhere."""
+        """(seconds until the next connection, whether to keep the address). redirected: the server named
+        another address.
+        """
         fields, self.deferral = self.deferral, None
         if fields is None:
             pause = self.reconnector.step(
--- a/hookrouter/feed/renewals.py
+++ b/hookrouter/feed/renewals.py
@@ -1,6 +1,6 @@
-"""Renews a follower's lease of purges: a quarter of a lease after the last time, or soon after it has news.
+"""Renews a follower's lease of purges: a quarter of a lease after the last renewal, or soon after news.
 
-One call is out at a time, over a connection of its own.
+One call is in progress at a time, over a connection of its own.
 """
 
 from __future__ import annotations
@@ -18,27 +18,27 @@
 from ..terms import SECOND
 from .http_client import HttpClient
 
-RENEWALS = 4  # in one lease: three may be lost
-CALL_TIMEOUT = 1.0  # seconds, and never longer than from one renewal to the next two
-# Seconds until the next try where there was no lease: noting a name, or catching up, is quick.
+RENEWALS = 4  # in one lease, so three in a row may be lost
+CALL_TIMEOUT = 1.0  # seconds, and at most two renewal intervals
+# Seconds until the next try after a denied lease: storing a name, or catching up, is quick.
 DENIED_PAUSE = 0.05
-# Seconds until a renewal that news asks for: what comes in one burst is answered for at once.
+# Seconds until a renewal for news, so that a burst of purges is acknowledged together.
 MIN_PAUSE = 0.002
-NEWS_IN_LEASE = 10  # renewals for news in one lease: what comes in a stream is answered for together
+NEWS_IN_LEASE = 10  # renewals for news in one lease: a stream of purges is acknowledged in batches
 
 
 class RenewalHost(Protocol):
-    """Whose lease is renewed."""
+    """The owner of the lease."""
 
     def renewal(self, leave: bool) -> wire.Renew:
-        """What is asked for now. leave: that it answers nothing any more."""
+        """The request to send now. leave: the follower stops answering."""
 
     def on_grant(self, requested_at: int, wall: int, granted: wire.Granted) -> bool:
-        """What was answered to a renewal of these times, steady and wall; False: by who must not be heard."""
+        """Answer to a renewal sent at these steady and wall times; False if it must be ignored."""
 
 
 class Renewals:
-    """Owns the connection for renewals, and when the next one is due."""
+    """Owns the connection for renewals and schedules them."""
 
     def __init__(
         self,
@@ -53,44 +53,44 @@
         wall: Callable[[], float],
         steady: Callable[[], int],
     ) -> None:
-        """address: of desk or relay. fields: of each request. lease: in tenths of a millisecond. Nothing is
-        due before start().
+        """address: of desk or relay. fields: header fields of each request. lease: tenths of a millisecond.
+        Nothing is scheduled before start().
         """
         self._reactor, self._deadlines, self._host = reactor, deadlines, host
         self._log, self._count, self._wall, self._steady = log, count, wall, steady
         self._fields = list(fields)
         self._interval = lease / SECOND / RENEWALS
-        self._spacing = lease / SECOND / NEWS_IN_LEASE  # seconds between two for news, at least
-        self._last_started_at = -self._spacing  # when the last one left, by the deadlines' clock
+        self._spacing = lease / SECOND / NEWS_IN_LEASE  # minimum of seconds between two renewals for news
+        self._last_started_at = -self._spacing  # start of the last renewal, by the deadlines' clock
         self._client = HttpClient(reactor, deadlines, address)
         self._timer: object | None = None
         self._renew_again = self._stopped = self._leaving = False
 
     def start(self) -> None:
-        """The first one is due now, unless one is already."""
+        """Sends the first renewal now, unless one is scheduled."""
         if self._timer is None and not self._stopped:
             self._schedule(0)
 
     def soon(self) -> None:
-        """There is news: a moment from now, but not too soon after the last one, nor while a call is out."""
+        """There is news to acknowledge: renews shortly, limited by the spacing and by a call in progress."""
         if self._client.busy():
             self._renew_again = True
         elif not self._closed():
             self._schedule(self._news_pause())
 
     def move(self, address: tuple[str, int]) -> None:
-        """The lease is renewed there from now on; a call that is out ends."""
+        """Renews at another address from now on; a call in progress fails."""
         self._client.stop()
         self._client = HttpClient(self._reactor, self._deadlines, address)
 
     def stop(self) -> None:
-        """Nothing is renewed any more."""
+        """Stops renewing."""
         self._stopped = True
         self._deadlines.drop(self._timer)
         self._client.stop()
 
     def leave(self) -> Deferred:
-        """Says that it answers nothing any more; fires, or fails, once it was told."""
+        """Tells the desk that the follower stops answering; fires or fails with the call."""
         self._leaving = True
         self._deadlines.drop(self._timer)
         self._client.stop()
@@ -100,7 +100,7 @@
         return self._stopped or self._leaving
 
     def _news_pause(self) -> float:
-        """Seconds until the next one for news."""
+        """Seconds until the next renewal for news."""
         return max(MIN_PAUSE, self._last_started_at + self._spacing - self._deadlines.clock.seconds())
 
     def _schedule(self, seconds: float) -> None:
@@ -112,7 +112,7 @@
     def _renew(self) -> None:
         self._timer = None
         if self._client.busy() or self._stopped:
-            return  # the call that is out ends soon, see _ended
+            return  # _on_call_ended() schedules the next one
         self._renew_again, self._last_started_at = False, self._deadlines.clock.seconds()
         requested_at, wall = self._steady(), int(self._wall() * SECOND)
         call = self._call(False)
@@ -128,7 +128,7 @@
 
     def _on_response(self, answer: tuple[int, bytes], requested_at: int, wall: int) -> None:
         status, body = answer
-        if status == 503:  # not the desk any more, or not yet
+        if status == 503:  # not, or not yet, the desk
             self._count("renewals_failed")
             return
         if status != 200:
@@ -145,6 +145,6 @@
         self._count("renewals_failed")
 
     def _on_call_ended(self, _: object) -> None:
-        """A renewal that came due while the last one was out follows at once."""
+        """A renewal that came due during the last call follows at once."""
         if self._timer is None and not self._closed():
             self._schedule(MIN_PAUSE)
--- a/hookrouter/feed/slices.py
+++ b/hookrouter/feed/slices.py
@@ -1,7 +1,7 @@
-"""Fetches the sealed slices that a snapshot has listed, one at a time, each checked by its digest.
+"""Fetches the sealed slices that a snapshot lists, one at a time, each checked by its digest.
 
-What was fetched stays fetched: after a cut, or a further snapshot, only the others are asked for. Fetching
-takes half of the time at most.
+Fetched slices are kept: after a disconnect or another snapshot only the missing ones are requested. Fetching
+takes at most half of the time.
 """
 
 from __future__ import annotations
@@ -23,27 +23,27 @@
 from .http_client import HttpClient
 
 FETCH_TIMEOUT = 10.0  # seconds for one slice: a quarter of a megabyte over a link that is nearly full
-RETRY_PAUSE = 0.25  # seconds until the next try of a slice that could not be had
-MAX_FAILURES = 3  # in a row; then another snapshot is asked for, perhaps elsewhere
-LINK_SHARE = 0.5  # of the time that may go to fetching
-MIN_PAUSE = 0.001  # seconds between two of them
+RETRY_PAUSE = 0.25  # seconds until a failed slice is requested again
+MAX_FAILURES = 3  # in a row; then another snapshot is requested, perhaps from another server
+LINK_SHARE = 0.5  # maximum share of the time spent fetching
+MIN_PAUSE = 0.001  # seconds between two fetches
 
 
 class SliceHost(Protocol):
-    """Whom the slices are fetched for."""
+    """The follower that slices are fetched for."""
 
     def adopt(self, state: SliceState) -> Deferred | None:
-        """Takes in a slice; a Deferred where that lasts."""
+        """Merges a slice; may return a Deferred."""
 
     def caught_up(self) -> None:
-        """Nothing is missing any more."""
+        """No slice is missing any more."""
 
     def list_anew(self) -> None:
-        """What is listed cannot be had: another snapshot has to be asked for."""
+        """Listed slices cannot be fetched: another snapshot is needed."""
 
 
 class SliceFetcher:
-    """Fetches for one follower what its CatchUp lacks, from go() on until nothing is missing."""
+    """Fetches the slices that a CatchUp lacks, from go() on until none is missing."""
 
     def __init__(
         self,
@@ -56,17 +56,17 @@
         log: Log,
         count: Callable[[str], None],
     ) -> None:
-        """fields: of each request; address(): of desk or relay now."""
+        """fields: header fields of each request; address(): current address of desk or relay."""
         self._reactor, self._deadlines, self._fields = reactor, deadlines, list(fields)
         self._address, self._host, self._catch_up = address, host, catch_up
         self._log, self._count = log, count
         self._client: HttpClient | None = None
         self._timer: object | None = None
         self._busy = self._stopped = False
-        self._failures = 0  # tries in a row that failed
+        self._failures = 0  # failed fetches in a row
 
     def go(self) -> None:
-        """Something may be missing."""
+        """Continues fetching if slices are missing and no fetch is in progress."""
         if self._stopped or self._busy or not self._catch_up.pending:
             return
         self._deadlines.drop(self._timer)
@@ -79,7 +79,7 @@
             self._host.caught_up()
 
     def stop(self) -> None:
-        """Nothing more is fetched, and nobody is told."""
+        """Stops fetching without a callback."""
         self._stopped = True
         self._deadlines.drop(self._timer)
         self._disconnect()
@@ -132,7 +132,7 @@
         self._schedule(RETRY_PAUSE)
 
     def _request_new_list(self, reason: str) -> None:
-        """What was taken in stays; the rest is listed anew by another snapshot."""
+        """Requests another snapshot; applied slices stay."""
         self._busy, self._failures = False, 0
         self._log("sealed slices of purges are asked for anew", reason)
         self._host.list_anew()
--- a/hookrouter/front/__init__.py
+++ b/hookrouter/front/__init__.py
@@ -1,7 +1,7 @@
-"""Client connections in framed Thrift: calls in, each answered once, in any order.
+"""Client connections in framed Thrift; each call is answered once, in any order.
 
-Another protocol can stand in for this one: it hands the same Asked to the same three calls of its desk,
-taken, left and ready, and answers to the same five, satisfied, unchanged, nacked, failed and catch_up.
+The interface allows another protocol: it passes LookupRequests to the callbacks on_lookup, on_client_gone and
+ready of its handler, and provides satisfied, unchanged, nacked, failed and read_pending.
 """
 
 from .connections import Front, Listener
--- a/hookrouter/front/calls.py
+++ b/hookrouter/front/calls.py
@@ -1,4 +1,4 @@
-"""What a client asks for, read from the fields of a call, and the pieces of each answer."""
+"""Parses the fields of a client's call, and encodes each kind of reply."""
 
 from typing import NamedTuple
 
@@ -6,36 +6,36 @@
 from ..parsers.thrift import Malformed
 from ..terms import UNITS_PER_MS
 
-MAX_FIELDS = 32  # in one call: the service's own have eleven at most
-MAX_FIELD_BYTES = 256  # bytes; the longest of the service's own has 32
-MAX_TIME_ALLOWED_MS = 10**8  # milliseconds, over a day: no client waits longer
+MAX_FIELDS = 32  # in one call; regular calls have eleven at most
+MAX_FIELD_BYTES = 256  # regular values have at most 32 bytes
+MAX_TIME_ALLOWED_MS = 10**8  # over a day: no client waits longer
 GROUP_COUNT = 256
-PART_COUNT = 10**9  # of an object; the service's own have some dozens
-MAX_SIZE_KB = 10**9  # KB of one part
+PART_COUNT = 10**9  # of an object; regular objects have some dozens
+MAX_SIZE_KB = 10**9  # of one part
 HEX = frozenset("0123456789abcdefABCDEF")
 DIGITS = frozenset("0123456789")
-ID_DIGITS = 16  # digits of an id of a lookup or object
-MAX_HEX_DIGITS = 64  # digits of a key or a tag: twice the longest of the service's own
+ID_DIGITS = 16  # hex digits in the id of a lookup or object
+MAX_HEX_DIGITS = 64  # in a key or revision: twice the longest regular one
 
 
 class LookupRequest(NamedTuple):
-    """One lookup as the client put it; ids as given."""
+    """A lookup as the client sent it; ids are passed on unchanged."""
 
     trace: str
     kind: str
-    time_allowed: int  # tenths of a millisecond that the client waits in all
+    time_allowed: int  # tenths of a millisecond that the client waits in total
     repeat: bool
-    dedup_key: str | None  # the same for all tries of one deduplicated lookup
+    dedup_key: str | None  # the same for all repeats of one deduplicated lookup
     object: str
     part: int
     group: int
-    size: float  # KB, 0 where not told
-    client_revision: str | None  # the tag of the client's own copy
+    size: float  # KB, 0 if unknown
+    client_revision: str | None  # revision of the client's own copy, None without one
     body: bytes
 
 
 def read_request(arguments):
-    """The arguments of execute; Malformed names what is missing or makes no sense."""
+    """Parses the arguments of execute; Malformed names the field that is missing or invalid."""
     raw_fields, body = arguments.get(1), arguments.get(2, b"")
     if not isinstance(raw_fields, dict) or not isinstance(body, bytes):
         raise Malformed("execute takes a map of fields and a body")
@@ -68,6 +68,7 @@
 
 
 def read_required(fields, name):
+    """A field that must be there and not empty."""
     value = fields.get(name, "")
     if not value:
         raise Malformed(f"{name} is missing")
@@ -75,7 +76,7 @@
 
 
 def read_hex(fields, name, length):
-    """So many hex digits, which are passed on as they came."""
+    """A required field of exactly so many hex digits, unchanged."""
     value = read_required(fields, name)
     if len(value) != length or not HEX.issuperset(value):
         raise Malformed(f"{name} is not of {length} hex digits")
@@ -83,7 +84,7 @@
 
 
 def read_optional_hex(fields, name):
-    """Hex digits of any length within reason, or None where there are none."""
+    """Hex digits of up to MAX_HEX_DIGITS, or None if the field is missing or empty."""
     value = fields.get(name, "")
     if len(value) > MAX_HEX_DIGITS or not HEX.issuperset(value):
         raise Malformed(f"{name} is not of hex digits")
@@ -91,7 +92,9 @@
 
 
 def read_whole(fields, name, maximum):
-    """A whole number, as passed on: in plain digits, without what int() reads besides."""
+    """An integer from 0 to maximum, 0 if missing; in plain digits, without the other forms that int()
+    accepts.
+    """
     value = fields.get(name, "") or "0"
     plain = DIGITS.issuperset(value) and len(value) <= len(str(maximum)) and value == str(int(value))
     if not plain or int(value) > maximum:
@@ -100,14 +103,16 @@
 
 
 def read_amount(fields, name, maximum):
-    """A number in plain digits with at most one point: float() alone reads more than the protocol knows."""
+    """A required number in plain digits with at most one point; float() alone would accept more than the
+    protocol.
+    """
     value = read_required(fields, name)
     if not DIGITS.issuperset(value.replace(".", "", 1)) or value == "." or not float(value) <= maximum:
         raise Malformed(f"{name} is no number from 0 to {maximum}")
     return float(value)
 
 
-# ---- answers, as pieces to be written one after another
+# ---- replies, as pieces to be written one after another
 
 END = bytes((thrift.STOP,))
 RESULT_TRUE = thrift.field(thrift.BOOL, 3) + b"\x01"
@@ -119,6 +124,7 @@
 
 
 def satisfied(name, seqid, pieces, length):
+    """Reply with a body."""
     return thrift.message(
         thrift.REPLY,
         name,
@@ -130,6 +136,7 @@
 
 
 def unchanged(name, seqid):
+    """Reply that says that the client's copy is current."""
     return thrift.message(
         thrift.REPLY,
         name,
@@ -139,6 +146,7 @@
 
 
 def check_reply(name, seqid, ready):
+    """Reply to check: whether lookups can be served."""
     return thrift.message(
         thrift.REPLY,
         name,
@@ -148,7 +156,7 @@
 
 
 def declared_exception(name, seqid, number, fields):
-    """One of the exceptions that the service declares."""
+    """One of the exceptions that the service declares, by its field number in the reply."""
     return thrift.message(
         thrift.REPLY,
         name,
@@ -162,9 +170,11 @@
 
 
 def nacked(name, seqid, retry_after):
+    """Rejection of a call that may be retried; retry_after: tenths of a millisecond, left out below 1 ms."""
     fields = {"cooldown": str(retry_after // UNITS_PER_MS)} if retry_after >= UNITS_PER_MS else {}
     return declared_exception(name, seqid, 1, fields)
 
 
 def failed(name, seqid, text):
+    """Failure of a call that must not be retried, with a reason if there is one."""
     return declared_exception(name, seqid, 2, {"reason": text} if text else {})
--- a/hookrouter/front/connection.py
+++ b/hookrouter/front/connection.py
@@ -1,8 +1,8 @@
-"""One client's connection: calls read from frames, answers written, what it does not read bounded.
+"""One client connection: parses calls from frames, writes replies and bounds what the client leaves unread.
 
-Its end, in order: no call is taken any more and what is open is given up; what was written goes out whole;
-this side is shut down; what still comes is read and dropped until the client ends too, or a deadline; it is
-closed.
+It closes in this order: no further calls are accepted and open ones are abandoned; pending replies are
+written; the write side is shut down; input is discarded until the client closes too or a deadline passes; the
+connection is closed.
 """
 
 from collections import deque
@@ -16,26 +16,30 @@
 from . import methods
 from .methods import MAX_OPEN_CALLS, MAX_UNREAD_SHARE
 
-MAX_FRAME_BYTES = 65_536  # bytes: a write's body has 48,000 at most, its fields some hundreds
-MAX_CANCELLED_PER_READ = 8  # calls in the read that brought them: a client that waits at all never does so
-DRAIN_TIMEOUT = 10.0  # seconds a client may take to read what was written: none waits longer for it
-MAX_READS = 32  # in a row, 64 kB each: as many calls as may be open, each with the longest body
+MAX_FRAME_BYTES = 65_536  # the body of a write has at most 48,000, its fields some hundreds
+MAX_CANCELLED_PER_READ = 8  # calls cancelled in the read that brought them: regular clients do not do so
+DRAIN_TIMEOUT = 10.0  # seconds a client may take to read pending replies: none waits longer for one
+MAX_READS = 32  # in a row, 64 kB each: the maximum of open calls, each with the longest body
 
 
 @implementer(IHalfCloseableProtocol)
 class Connection(Protocol):
+    """Protocol of one client connection, created by Front."""
+
     def __init__(self, front):
         self.front = front
         self.frames = thrift.Frames(MAX_FRAME_BYTES)
-        self.open_calls = {}  # sequence number -> (name of the method, bytes of the body)
+        self.open_calls = {}  # sequence number -> (method name, bytes of the body)
         self.slot = self.drain_timer = None
-        self.latest_seqid = 0  # sequence number of a call
-        self.queue = []  # pieces of answers that wait until the client has read those before
-        self.unread_bytes = 0  # bytes of these, or of those handed on last
-        self.ending = False  # nothing more is taken
-        self.received = False  # something, by the newest read
-        self.pending_messages = None  # messages read and not acted on yet, while a read is under way
-        self.cancelled = set()  # sequence numbers of those among them that are
+        self.latest_seqid = 0  # highest sequence number of a call
+        self.queue = []  # pieces of replies that wait until the client has read earlier ones
+        self.unread_bytes = 0  # bytes of these, or of the ones passed to the transport last
+        self.ending = False  # no further input is accepted
+        self.received = False  # whether the last read returned data
+        self.pending_messages = (
+            None  # parsed messages not processed yet; None when no read is being processed
+        )
+        self.cancelled = set()  # sequence numbers of pending calls that were cancelled
 
     def connectionMade(self):
         self.transport.setTcpNoDelay(True)
@@ -62,7 +66,9 @@
             self.abort()
 
     def _process(self, messages, cancelled):
-        """Once nothing more lies unread: behind a call its interrupt may lie, or the client's end."""
+        """Processes messages once all input is read: a call's interrupt or the end of the connection may
+        follow it.
+        """
         self.pending_messages, self.cancelled, has_frames = deque(messages), cancelled, bool(messages)
         try:
             self.read_pending()
@@ -75,7 +81,7 @@
         self.front.on_data(self, has_frames)
 
     def _enqueue(self, messages, cancelled):
-        """What came while earlier messages are acted on: it waits, but what it withdraws is withdrawn."""
+        """Adds messages that arrive while others are processed; their interrupts take effect at once."""
         pending_executes = {message.seqid for message in self.pending_messages if message.name == b"execute"}
         self.pending_messages.extend(messages)
         self.cancelled |= cancelled
@@ -88,9 +94,11 @@
                     methods.interrupt(self, message, message.arguments())
 
     def _validate(self, messages):
-        """Looked at before any is taken: who opens too many, or one number twice, gets none of them.
+        """Checks all messages before any is processed: too many open calls or a reused number reject them
+        all.
 
-        Numbers of the calls that are withdrawn again in the same read: they are not taken at all.
+        Returns the sequence numbers of calls that are cancelled in the same read; these are not started at
+        all.
         """
         open_count, executed, cancelled = len(self.open_calls), set(), set()
         for message in messages:
@@ -106,9 +114,7 @@
             elif message.kind == thrift.ONEWAY and message.name == b"interrupt":
                 open_count -= 1
                 seqid = message.arguments().get(1)
-                if (
-                    isinstance(seqid, int) and seqid in executed
-                ):  # it may be of any type, and of no call so far
+                if isinstance(seqid, int) and seqid in executed:  # it may be of any type, and name no call
                     cancelled.add(seqid)
             else:
                 raise Malformed(f"a message of kind {message.kind}")
@@ -117,7 +123,7 @@
         return cancelled
 
     def read_pending(self):
-        """Takes in all that lies unread: after a pause of the process its deadlines come before its reads."""
+        """Reads all available input: after a pause of the process timers run before reads."""
         for _ in range(MAX_READS):
             if self.ending:
                 return
@@ -128,7 +134,7 @@
                 return
 
     def readConnectionLost(self):
-        """The client has closed its side: it has gone, and waits for nothing."""
+        """The client closed its side, so it waits for no reply."""
         self._begin_close()
         self.transport.loseConnection()
 
@@ -140,20 +146,22 @@
         self.front.unregister(self)
 
     def abort(self):
-        """At once, with all that is open on it."""
+        """Closes the connection at once and abandons its open calls."""
         self.ending = True
         self.transport.abortConnection()
         self.front.abandon(self)
 
     def close(self):
-        """A lingering close: closed over unread bytes, it would be reset, and its last answers lost."""
+        """Lingering close: closing with unread input would reset the connection and lose the last replies."""
         if not self.ending:
             self._begin_close()
             self.transport.loseWriteConnection()
-            self.transport.doWrite()  # at once where all is written: nothing lies unread now
+            self.transport.doWrite()  # shuts down at once if all is written: no input is unread now
 
     def _begin_close(self):
-        """With a producer the transport would wait for that one's end too."""
+        """Abandons open calls and flushes; the producer is unregistered, or the transport would wait for its
+        end.
+        """
         if not self.ending:
             self.ending = True
             self.front.abandon(self)
@@ -168,19 +176,19 @@
             self.transport.writeSequence(queue)
 
     def writeConnectionLost(self):
-        """All is written, and this side shut down."""
+        """All is written and the write side is shut down."""
         self._stop_drain()
         self.front.start_linger(self)
 
-    # What the transport tells of its buffer. A client that does not read is read from all the same: what it
-    # withdraws, and its end, must be seen.
+    # Producer interface: the state of the transport's buffer. Input is read even from a client that does not
+    # read, because its interrupts and its end must be seen.
     def pauseProducing(self):
-        """Called at each write beyond the buffer."""
+        """The transport's buffer is full; called at each write beyond it."""
         if self.drain_timer is None:
             self.drain_timer = self.front.deadlines.after(DRAIN_TIMEOUT, self._on_drain_timeout)
 
     def resumeProducing(self):
-        """It has read all that was handed on: what came meanwhile is next, and has its own time."""
+        """The client has read all that was passed on: the queue is next, with a deadline of its own."""
         waiting_bytes = self.unread_bytes
         self._stop_drain()
         self._flush_queue()
@@ -188,6 +196,7 @@
             self._add_unread(waiting_bytes)
 
     def stopProducing(self):
+        """Required by the producer interface; connectionLost() does the work."""
         pass
 
     def _stop_drain(self):
@@ -204,7 +213,7 @@
         self.abort()
 
     def close_call(self, seqid):
-        """The method's name of an open call, which is open no longer; None where it was not."""
+        """Closes an open call; returns the name of its method, or None if it was not open."""
         name, size = self.open_calls.pop(seqid, (None, 0))
         self.front.body_memory.give_back(size)
         if not self.open_calls:
@@ -212,6 +221,9 @@
         return name
 
     def write(self, pieces):
+        """Writes a reply, or queues it while the client does not read; too much unread data ends the
+        connection.
+        """
         if self.drain_timer is None:
             self.transport.writeSequence(pieces)
             return
--- a/hookrouter/front/connections.py
+++ b/hookrouter/front/connections.py
@@ -1,7 +1,8 @@
-"""All client connections: each owns its descriptor's slot and the calls open on it, and gives both back.
+"""All client connections: each owns a descriptor slot and its open calls, and releases both.
 
-Who is silent, in half a frame or idle stands in an order by time: the oldest are ended in time, and before
-it where descriptors or the bytes of half frames run short. So no client can hold up another.
+Connections that are silent, idle or in the middle of a frame are kept in order of time. The oldest are closed
+when their time is over, or earlier if descriptors or memory for incomplete frames run short, so no client can
+block others.
 """
 
 from itertools import islice
@@ -13,27 +14,27 @@
 from . import calls
 from .connection import Connection
 
-FRAME_TIMEOUT = 2.0  # seconds for a first frame, or for the rest of one: no call is longer than some packets
-MIN_SILENCE = (
-    0.1  # seconds of silence or idleness that are left to all: what was sent with the connection is here
-)
-SHED_SHARE = 1 / 16  # of the descriptors, made free at a time where they run short
-SWEEP_INTERVAL = 0.1  # seconds between looks at who is silent or idle for too long
+FRAME_TIMEOUT = 2.0  # seconds for a first frame or the rest of one: no call is longer than some packets
+MIN_SILENCE = 0.1  # seconds of silence that are always allowed: by then data sent with the connection is here
+SHED_SHARE = 1 / 16  # share of the descriptors that is freed at a time when they run short
+SWEEP_INTERVAL = 0.1  # seconds between sweeps of silent and idle connections
 LINGER_TIMEOUT = (
-    0.5  # seconds for a client's end after ours: some ways there and back, while what crosses is dropped
+    0.5  # seconds for the client to close after us: some round trips; its input is discarded meanwhile
 )
-MAX_LINGERING_SHARE = 1 / 4  # of the descriptors: beyond it the oldest are closed, whatever crosses
+MAX_LINGERING_SHARE = 1 / 4  # share of the descriptors; beyond it the oldest are closed at once
 
 
 class Listener(tcp.Port):
-    """Accepts no more at a time than there are slots: who finds none waits in the listening queue."""
+    """Listening port that accepts no more connections at a time than there are slots; others wait in the
+    queue.
+    """
 
     def doRead(self):
         self.numberAccepts = self.factory.free()
         return tcp.Port.doRead(self)
 
     def stopListening(self):
-        """Whoever waits in the queue comes first: to a client it is connected, and may have sent its call."""
+        """Accepts the queued connections first: to their clients they are connected and may carry a call."""
         before = None
         while self.connected and not self.factory.full() and len(self.factory.connections) != before:
             before = len(self.factory.connections)
@@ -42,9 +43,11 @@
 
 
 class Front(Factory):
-    """desk: what is told of lookups. An answer to a call that is no longer open goes nowhere.
+    """Factory of the client connections.
 
-    half: bytes of half frames that all connections may hold.
+    handler: gets on_lookup(call, request) and on_client_gone(call), and is asked ready(). A call is (slot,
+    sequence number); replies to calls that are no longer open are dropped. limit: maximum of connections;
+    max_partial_bytes: of all incomplete frames together; idle_timeout: seconds.
     """
 
     noisy = False
@@ -62,9 +65,9 @@
             max_partial_bytes,
             {},
             0,
-        )  # bytes of a half frame by connection, and all
-        self.silent, self.idle = {}, {}  # connection -> since when, the longest first
-        self.lingering = {}  # connection -> the deadline of its close, the longest first
+        )  # bytes of incomplete frames: limit, by connection, total
+        self.silent, self.idle = {}, {}  # connection -> since when, the oldest first
+        self.lingering = {}  # connection -> timer of its close, the oldest first
         self.sweep_timer = self.port = None
 
     def buildProtocol(self, address):
@@ -73,12 +76,15 @@
     # ---- connections
 
     def free(self):
+        """Number of connections to accept at a time, at least 1."""
         return max(1, self.connections.size - len(self.connections))
 
     def full(self):
+        """Whether all slots are taken."""
         return len(self.connections) >= self.connections.size
 
     def register(self, connection):
+        """Takes a slot for a new connection; None if there is none."""
         slot = self.connections.take(connection)
         self.count("clients_connected" if slot is not None else "clients_turned_away")
         if slot is not None:
@@ -90,6 +96,7 @@
         return slot
 
     def unregister(self, connection):
+        """Releases the slot of a connection that is gone."""
         self.connections.give_back(connection.slot)
         self.deadlines.drop(self.lingering.pop(connection, None))
         self.abandon(connection)
@@ -97,7 +104,7 @@
             self.port.startReading()
 
     def abandon(self, connection):
-        """Nothing more is awaited from it, nor owed to it."""
+        """Drops all open calls of a connection and stops its timeouts."""
         for seqid in list(connection.open_calls):
             connection.close_call(seqid)
             self.handler.on_client_gone((connection.slot, seqid))
@@ -106,7 +113,7 @@
         self.idle.pop(connection, None)
 
     def on_data(self, connection, has_frames):
-        """It sent something, and with that whole frames or none."""
+        """Updates the timeouts of a connection after input. has_frames: it contained a complete frame."""
         if connection.ending:
             return
         partial = len(connection.frames.buffer)
@@ -127,13 +134,13 @@
             self.partial_bytes[connection] = size
 
     def mark_idle(self, connection):
-        """No call is open on it from now on."""
+        """The connection has no open call from now on."""
         self.idle.pop(connection, None)
         if not connection.ending:
             self.idle[connection] = self.deadlines.clock.seconds()
 
     def start_linger(self, connection):
-        """This side of it is shut down; what its client still sends is dropped."""
+        """The write side of a connection is shut down; its input is discarded until it is closed."""
         self.lingering[connection] = self.deadlines.after(LINGER_TIMEOUT, connection.transport.loseConnection)
         if len(self.lingering) > max(1, self.connections.size * MAX_LINGERING_SHARE):
             oldest = next(iter(self.lingering))
@@ -141,7 +148,7 @@
             oldest.transport.loseConnection()
 
     def read_pending(self, call):
-        """Takes in what lies unread on the connection of this call."""
+        """Reads available input of the connection of a call."""
         connection = self.connections.get(call[0])
         if connection is not None:
             connection.read_pending()
@@ -159,7 +166,7 @@
         )
 
     def _waiting_since(self, waiting, moment, limit=None):
-        """Those that wait since then or longer, also once what lies unread of theirs is taken in."""
+        """Connections waiting since that time or longer, also after their unread input was processed."""
         found = []
         for connection, since in islice(waiting.items(), limit):
             if since > moment:
@@ -170,9 +177,9 @@
         return [connection for connection, since in found if waiting.get(connection) == since]
 
     def _free_descriptors(self):
-        """Some of the silent go first, then some of the idle; where all are busy, whoever comes waits."""
+        """Closes some silent connections, or else some idle ones; if all are busy, new ones wait."""
         silent_since = self.deadlines.clock.seconds() - MIN_SILENCE
-        # Those that linger give theirs back soon: nobody else is ended in their place.
+        # Lingering connections release theirs soon, so they count as freed.
         shed_count = max(0, max(1, int(self.connections.size * SHED_SHARE)) - len(self.lingering))
         silent = self._waiting_since(self.silent, silent_since, shed_count)
         for connection in silent:
@@ -189,7 +196,7 @@
         self.count("clients_shed")
         connection.abort()
 
-    # ---- answers
+    # ---- replies
 
     def _answer(self, call, encode, *values):
         slot, seqid = call
@@ -199,21 +206,27 @@
             connection.write(encode(name, seqid, *values))
 
     def satisfied(self, call, pieces, length):
+        """Replies with a body of that length."""
         self._answer(call, calls.satisfied, pieces, length)
 
     def unchanged(self, call):
+        """Replies that the client's copy is current."""
         self._answer(call, calls.unchanged)
 
     def nacked(self, call, retry_after):
+        """Rejects a call that may be retried; retry_after in tenths of a millisecond."""
         self._answer(call, calls.nacked, retry_after)
 
     def failed(self, call, text=""):
+        """Fails a call."""
         self._answer(call, calls.failed, text)
 
-    # ---- the end
+    # ---- shutdown
 
     def close_idle(self):
-        """Ends the connections on which no call is open nor begun; one half come has its time to be heard."""
+        """Closes connections without an open call or incomplete frame; an incomplete one keeps its time to
+        arrive.
+        """
         for connection in self.connections.occupied():
             if not connection.open_calls:
                 connection.read_pending()
@@ -221,7 +234,7 @@
                 connection.close()
 
     def abort_all(self):
-        """All of them, now; those that linger have had all written and are closed in order."""
+        """Closes all connections now; lingering ones, which have all written, without a reset."""
         for connection in self.connections.occupied():
             if connection in self.lingering:
                 connection.transport.loseConnection()
--- a/hookrouter/front/methods.py
+++ b/hookrouter/front/methods.py
@@ -1,17 +1,18 @@
-"""The three methods of the service, as one connection's messages call them."""
+"""The three methods of the service: execute, check and interrupt."""
 
 from ..parsers import thrift
 from ..parsers.thrift import Malformed
 from . import calls
 
-MAX_OPEN_CALLS = 32  # calls on one connection, as the protocol has it
-MAX_UNREAD_SHARE = 1 / 8  # of the room, of one client
+MAX_OPEN_CALLS = 32  # on one connection, as the protocol states
+MAX_UNREAD_SHARE = 1 / 8  # share of the body memory that one client may leave unread
 NACK_UNREAD_SHARE = (
     MAX_UNREAD_SHARE / 2
-)  # its further calls are nacked: it would have to read their answers too
+)  # beyond it further calls are nacked, as their replies would add to it
 
 
 def dispatch(connection, message):
+    """Calls the method of a message; Malformed if its kind does not fit the method."""
     kind, method = METHODS.get(message.name, (thrift.CALL, None))
     if message.kind != kind:
         raise Malformed(f"a message of kind {message.kind}")
@@ -27,16 +28,19 @@
 
 
 def refuse(connection, message, code, text):
+    """Replies with a Thrift application exception."""
     note_malformed(connection, text)
     connection.write(thrift.application_exception(message.name, message.seqid, code, text))
 
 
 def note_malformed(connection, text):
+    """Logs and counts a malformed call."""
     connection.front.log("client made a call that cannot be used", text)
     connection.front.count("calls_malformed")
 
 
 def execute(connection, message, arguments):
+    """Starts a lookup, or replies at once if it is malformed or memory is short."""
     if len(connection.open_calls) >= MAX_OPEN_CALLS:
         raise Malformed(f"more than {MAX_OPEN_CALLS} calls open")
     try:
@@ -61,12 +65,14 @@
 
 
 def interrupt(connection, message, arguments):
+    """Cancels an open call; it gets no reply."""
     seqid = arguments.get(1)
     if isinstance(seqid, int) and connection.close_call(seqid) is not None:
         connection.front.handler.on_client_gone((connection.slot, seqid))
 
 
 def check(connection, message, arguments):
+    """Replies whether lookups can be served."""
     connection.write(calls.check_reply(message.name, message.seqid, connection.front.handler.ready()))
 
 
--- a/hookrouter/node/__init__.py
+++ b/hookrouter/node/__init__.py
@@ -1,1 +1,1 @@
-"""One router: its Control, the lookups it holds, and how the module's effects are carried out."""
+"""One router process: its Control, the lookups in progress, and the execution of Control's effects."""
--- a/hookrouter/node/cache_loads.py
+++ b/hookrouter/node/cache_loads.py
@@ -1,32 +1,38 @@
-"""Counts what goes to each cache, for those to whom this router tells it: only where sharing is on."""
+"""Measures the load that this router puts on each cache, for sharing with its fleet; only with [sharing]."""
 
 from math import exp
 
 from .. import interface
 
 ACTIVE_SENDS_TIME_CONSTANT = (
-    10_000  # 1 s: sends out are averaged over it, for one look finds none most of the time
+    10_000  # 1 s: averages the active sends, as a single sample finds none most of the time
 )
-RATE_TIME_CONSTANT = 20_000  # 2 s: of a few sends a second
-ANSWER_WEIGHT = 1 / 16  # weight of the newest in what answers took and how many were refused
-IDLE_LOAD = 0.005  # below it a load is none, and its row ends where the cache is gone
+RATE_TIME_CONSTANT = 20_000  # 2 s: averages the rate at a few sends a second
+ANSWER_WEIGHT = 1 / 16  # weight of the newest answer in the averages of duration and refusals
+IDLE_LOAD = 0.005  # a load below this counts as none, and its row is removed if the cache is gone
 
 
 class CacheLoads:
-    """Loads are by machine: what fills a cache counts each send that it may have to feed."""
+    """Averages by cache. A send counts for the cache and for the source that may have to feed its fill."""
 
     def __init__(self):
-        self.active_sends, self.started = {}, {}  # id -> sends out; sends started since the last look
-        self.loads, self.sampled_at, self.listed_caches = {}, None, set()  # id -> [out, rate], averaged
-        self.answer_stats = {}  # id -> [what answers took, share refused], averaged
+        self.active_sends, self.started = {}, {}  # id -> active sends; sends started since the last sample
+        self.loads, self.sampled_at, self.listed_caches = (
+            {},
+            None,
+            set(),
+        )  # id -> [active sends, sends per second], averaged
+        self.answer_stats = {}  # id -> [answer duration, share refused], averaged
 
     def send_started(self, cache, source):
+        """Counts a send to a cache. source: of its fill, or None."""
         for name in (cache, source):
             if name is not None:
                 self.active_sends[name] = self.active_sends.get(name, 0) + 1
                 self.started[name] = self.started.get(name, 0) + 1
 
     def send_ended(self, cache, source, outcome, duration):
+        """Ends a send that send_started() counted. duration in tenths of a millisecond."""
         for name in (cache, source):
             remaining = self.active_sends.get(name, 0) - 1
             if remaining > 0:
@@ -39,7 +45,7 @@
             row[1] += ANSWER_WEIGHT * ((outcome == interface.FULL) - row[1])
 
     def update_caches(self, event):
-        """The feed's list: caches without a load are told as idle, and those gone are told no more."""
+        """Applies a cache list event: listed caches without load are reported as idle, others dropped."""
         ready = {cache.id for cache in event.caches if cache.phase != interface.GONE}
         gone = {cache.id for cache in event.caches} - ready
         self.listed_caches = ready if event.snapshot else (self.listed_caches | ready) - gone
@@ -48,7 +54,7 @@
         }
 
     def sample(self, now):
-        """[(cache, "", out, rate a second)] of now."""
+        """Updates the averages; returns [(cache, "", active sends, sends per second)] sorted by cache."""
         elapsed = 0 if self.sampled_at is None else max(0, now - self.sampled_at)
         self.sampled_at = now
         if elapsed:
--- a/hookrouter/node/counters.py
+++ b/hookrouter/node/counters.py
@@ -1,4 +1,4 @@
-"""Counts of what is taken in, sent and answered: stable names, one line each."""
+"""Counters and gauges of one router, printed one per line under stable names."""
 
 from .. import interface
 
@@ -7,7 +7,7 @@
     "nacked",
     "failed",
     "given_up",
-)  # of a lookup; with those held they make up the taken
+)  # plus lookups_held, they add up to the lookups taken
 SEND_OUTCOMES = (
     interface.SATISFIED,
     interface.ERRED,
@@ -27,7 +27,7 @@
     "caches",
     "effect",
     "kind",
-)  # why the module gave lookups up
+)  # why Control gave up lookups
 PLAIN_COUNTERS = (
     "clients_connected",
     "clients_turned_away",
@@ -73,7 +73,10 @@
 
 
 class Counters:
+    """Counts by name; every name exists from the start with the value 0."""
+
     def __init__(self, kinds):
+        """kinds: names of the object kinds, each of which gets its own lookup counters."""
         self.values = dict.fromkeys(PLAIN_COUNTERS, 0)
         self.values.update((f"sends_{outcome}", 0) for outcome in SEND_OUTCOMES)
         self.values.update((f"given_up_for_{reason}", 0) for reason in GIVE_UP_REASONS)
@@ -82,28 +85,33 @@
         )
 
     def count(self, name):
+        """Adds one to a counter; KeyError for an unknown name."""
         self.values[name] += 1
 
     def lookup_taken(self, kind):
+        """Counts a lookup that was accepted from a client."""
         self.count(f"lookups_taken.{kind}")
 
     def lookup_ended(self, kind, outcome):
+        """Counts the outcome of a lookup: one of LOOKUP_OUTCOMES."""
         self.count(f"lookups_{outcome}.{kind}")
 
     def lookup_given_up(self, reason):
+        """Counts why Control gave up a lookup; other reasons than GIVE_UP_REASONS are not counted."""
         if reason in GIVE_UP_REASONS:
             self.count(f"given_up_for_{reason}")
 
     def send_ended(self, outcome):
+        """Counts the outcome of a send: one of SEND_OUTCOMES."""
         self.count(f"sends_{outcome}")
 
     def lines(self, gauge_values):
-        """One a counter, then one for each thing held now."""
+        """Lines of "name value": the counters sorted by name, then the gauges."""
         return [f"{name} {value}" for name, value in (*sorted(self.values.items()), *gauge_values.items())]
 
 
 def gauges(router):
-    """What is taken and not given back yet."""
+    """Current values: resources in use and requests in progress, by name."""
     return {
         "sends_out": sum(len(lookup.active_sends) for lookup in router.lookups.occupied()),
         "sends_believed_out": len(router.control.pending_sends),
--- a/hookrouter/node/effects.py
+++ b/hookrouter/node/effects.py
@@ -1,4 +1,4 @@
-"""What the module says, carried out: sends and answers, alarms, the router's own copies."""
+"""Executes the effects of Control: sends, answers, alarms and the router's own copies."""
 
 from functools import partial
 
@@ -7,16 +7,18 @@
 
 
 def unanswered_lookup(router, effect):
-    """The effect's lookup where it still lacks its answer."""
+    """The lookup of an effect, or None if it is unknown or already answered."""
     lookup = router.lookups.get(effect.id)
     return None if lookup is None or lookup.answered else lookup
 
 
 def ask(router, effect):
+    """Starts a send that the cache answers from what it holds."""
     send(router, effect)
 
 
 def obtain(router, effect):
+    """Starts a send that states the source of a fill and how the copy is handled."""
     send(
         router,
         effect,
@@ -31,9 +33,10 @@
 
 
 def send(router, effect, **options):
+    """Starts a send; options are further fields of CacheRequest. Does nothing once the lookup is answered."""
     lookup = unanswered_lookup(router, effect)
     if lookup is None:
-        return  # only a fault of the module brings this here; nothing goes out after the answer
+        return  # only a fault in Control leads here: nothing is sent after the answer
     request, send_number = lookup.request, lookup.send_count
     lookup.send_count += 1
     cache_request = CacheRequest(
@@ -54,7 +57,7 @@
     if router.warming_observer is not None:
         router.warming_observer.on_send(effect.cache, request.size)
     lookup.active_sends[send_number] = (
-        None  # it is held from here on: its client may be found to have gone on the way
+        None  # registered first: the client may be found gone while the send starts
     )
     active_send = lookup.active_sends[send_number] = router.caches.send(
         effect.cache,
@@ -69,6 +72,7 @@
 
 
 def on_send_ended(result, router, lookup, send_number, cache, source, started_at):
+    """Answers the lookup if the send succeeded, and reports the end of the send to Control."""
     del lookup.active_sends[send_number]
     if router.cache_loads is not None:
         router.cache_loads.send_ended(cache, source, result.outcome, router.now() - started_at)
@@ -105,12 +109,13 @@
 
 
 def answer_and_cancel(router, lookup, end, answer, *values):
-    """The final answer from here, and what is not written is taken back."""
+    """Writes the final answer of a lookup and cancels its sends that are not written yet."""
     router.answer(lookup, end, answer, *values)
     router.cancel_unwritten_sends(lookup)
 
 
 def nack(router, effect):
+    """Rejects a lookup that the client may retry."""
     lookup = unanswered_lookup(router, effect)
     if lookup is not None:
         router.counters.lookup_given_up(effect.reason)
@@ -118,6 +123,7 @@
 
 
 def fail(router, effect):
+    """Fails a lookup that must not be retried."""
     lookup = unanswered_lookup(router, effect)
     if lookup is not None:
         router.counters.lookup_given_up(effect.reason)
@@ -125,15 +131,18 @@
 
 
 def keep(router, effect):
+    """Stores the body of a successful send as an own copy."""
     request, result = router.storable_results[effect.id, effect.send]
     router.copies[request.kind, request.object, request.part] = result.revision, result.pieces, result.length
 
 
 def drop(router, effect):
+    """Removes an own copy if there is one."""
     router.copies.pop((effect.kind, effect.object, effect.part), None)
 
 
 def give(router, effect):
+    """Answers a lookup from an own copy, or says that the client's copy is current."""
     lookup = unanswered_lookup(router, effect)
     if lookup is None:
         return
@@ -147,23 +156,26 @@
 
 
 def cancel(router, effect):
+    """Cancels a running send."""
     lookup = router.lookups.get(effect.id)
     if lookup is not None and effect.send in lookup.active_sends:
         lookup.active_sends[effect.send].cancel()
 
 
 def set_alarm(router, effect):
+    """Schedules an Alarm input."""
     router.deadlines.after(
         router.seconds_until(effect.delay), router.handle_event, interface.Alarm(effect.token)
     )
 
 
 def subscribe(router, effect):
-    """The feed is always followed; what was missed has come or comes by it."""
+    """Answers with an empty change: the feed is followed all the time, so nothing has to be requested."""
     router.handle_event(interface.CacheList(interface.CHANGES, ()))
 
 
 def probe(router, effect):
+    """Sends a probe; its end is reported to Control."""
     started_at = router.now()
     router.caches.probe(effect.cache).deferred.addCallback(
         lambda result: router.handle_event(
@@ -173,10 +185,12 @@
 
 
 def unsupported(router, effect):
+    """Logs an effect that this protocol has no message for."""
     router.log("the module wants what this protocol has no way for", type(effect).__name__)
 
 
 def log(router, effect):
+    """Writes a log line for Control."""
     router.log("module", effect.text)
 
 
--- a/hookrouter/node/purging.py
+++ b/hookrouter/node/purging.py
@@ -1,6 +1,4 @@
-"""Fleet-wide purges in one router: its guard, told by the feed; answers that must not be passed on are no
-answers.
-"""
+"""Fleet-wide purges in one router: the guard, updated by the purge feed, and the check of answers."""
 
 from collections import deque
 from time import perf_counter, time
@@ -17,13 +15,14 @@
 from ..site import follows, purge_terms
 
 MAX_STEP_DURATION = (
-    0.005  # seconds of purges taken in at a time: a snapshot of all takes seconds, lookups must not wait
+    0.005  # seconds of applying purges at a time: a full snapshot takes seconds, and lookups must not wait
 )
 
 
 def purge_feed(reactor, deadlines, handler, purges, name, log, count, paced, wall=time, steady=boot_time):
-    """A router's feed of purges as [purges] has it, not started. desk: see PurgeFeed, and left() where it is
-    paced, that is with [admission].
+    """A router's purge feed as configured by [purges], not started.
+
+    handler: see PurgeFeed; with paced, that is with [admission], it also needs lease_left().
     """
     feed = PurgeFeed(
         reactor, deadlines, handler, follows(purges), purges, name, log, count, wall=wall, steady=steady
@@ -34,11 +33,13 @@
 
 
 class Purging:
+    """Applies the purges of the feed to the guard and tracks the lease."""
+
     def __init__(self, start, reactor, deadlines, router, log, count, steady, stopwatch=perf_counter):
-        """steady: see Router; None: the machine's. watch: seconds, for how long a slice has lasted."""
+        """steady: see Router, None for the system clock; stopwatch: in seconds, measures each step."""
         purges = start.purges
         self.deadlines, self.stopwatch = deadlines, stopwatch
-        # Purges told that the guard does not know yet; bounded by the desk's most live.
+        # Purges received but not applied yet; bounded by the desk's maximum of live purges.
         self.backlog = deque()
         self.steady = steady or boot_time
         self.router, self.log, self.count = router, log, count
@@ -64,16 +65,17 @@
         self.lease_state = self.guard.state()
 
     def lease_left(self):
-        """Of the lease, for who paces those that come back."""
+        """Remaining time of the lease, in tenths of a millisecond."""
         self.guard.at(self.steady())
         return self.guard.left()
 
-    # ---- told by the feed
+    # ---- callbacks of the feed
 
     def on_epoch(self, epoch):
-        """The feed keeps the epoch."""
+        """Ignored: the feed keeps the epoch itself."""
 
     def on_purges(self, purges):
+        """Queues purges, in order, and applies them in steps of limited duration."""
         was_empty = not self.backlog
         self.backlog.extend(purges)
         if was_empty:
@@ -94,7 +96,9 @@
         self.feed.renew_soon()
 
     def adopt(self, state):
-        """A sealed slice; a Deferred that fires once it is taken in, by steps between which lookups go on."""
+        """Merges a sealed slice in steps, so that lookups go on in between; returns a Deferred that fires at
+        the end.
+        """
         done = Deferred()
         self._merge(self.guard.adopt(self.router.now(), state), done)
         return done
@@ -106,29 +110,37 @@
                 if self.stopwatch() > step_end:
                     self.deadlines.after(0, self._merge, steps, done)
                     return
-        except Exception:  # it is fetched and tried again: without it there is no lease
+        except Exception:  # the slice is fetched and merged again: without it there is no lease
             done.errback()
             return
         self.count("slices_taken")
         done.callback(None)
 
     def on_snapshot(self, purges, newest):
-        self.on_purges(purges)  # what was live here stays: it only makes bounds stricter
+        """Applies a full list of live purges."""
+        self.on_purges(purges)  # purges known before stay: they only make the bounds stricter
 
-    def on_grant(self, request, wall, duration, handler):
+    def on_grant(self, requested_at, wall, duration, desk_wall):
+        """The lease was renewed. requested_at and wall: steady and wall time of the request;
+        duration: of the lease, from requested_at on; desk_wall: wall time at the desk.
+        """
         now = self.router.now()
-        self.guard.clock(wall, now, handler)
-        self.guard.granted(request, duration)
+        self.guard.clock(wall, now, desk_wall)
+        self.guard.granted(requested_at, duration)
         self.check_lease()
 
     def acknowledged(self, n):
-        """Nothing is answered for while some of it is not taken in."""
+        """Position to acknowledge as (applied here, applied by all); (-1, -1) while purges wait to be
+        applied.
+        """
         return (-1, -1) if self.backlog else (n, n)
 
-    # ---- asked by the router
+    # ---- queried by the router
 
     def check_lease(self):
-        """Before each decision and answer: a process that was paused learns here that its lease is over."""
+        """Checks the lease; called before each decision and answer, so that a process that was paused notices
+        at once that its lease has expired.
+        """
         self.guard.at(self.steady())
         state = self.guard.state()
         if state != self.lease_state:
@@ -141,9 +153,10 @@
             )
 
     def judge_result(self, result, request, started_at):
-        """The end as it counts: a copy that a purge has made old is as good as none.
+        """The result of a send, or MISSING if a purge makes the copy too old.
 
-        Only of kinds that may run again: that the others ran is true whatever the age of what came.
+        Only for kinds that may run again: for the others it is true that the lookup ran, whatever the age of
+        the answer.
         """
         if request.kind not in self.guarded_kinds:
             return result
@@ -157,6 +170,7 @@
         return result
 
     def gauges(self):
+        """Gauges of purges and tags, by name."""
         return {
             "purges_live": len(self.guard.index),
             "purges_sealed": self.guard.index.sealed_keys(),
--- a/hookrouter/node/router.py
+++ b/hookrouter/node/router.py
@@ -1,4 +1,4 @@
-"""Holds one Control: tells it truthfully what happens, carries out what it says, and owns the lookups."""
+"""Joins clients, caches and the feed to one Control, executes its effects and owns the lookups."""
 
 import time
 import traceback
@@ -21,19 +21,17 @@
 from .start import available_memory
 
 CACHE_BODY_SHARE = (
-    0.25  # of what the program leaves, for bodies from caches; what is not shared out is for garbage
+    0.25  # share of the available memory for bodies from caches; the unassigned rest is for garbage
 )
 CLIENT_BODY_SHARE = (
-    0.125  # of that, for bodies from clients and what they have not read: neither starves the other
-)
-PARTIAL_FRAME_SHARE = 0.0625  # of that, for half frames
-RESERVED_DESCRIPTORS = (
-    24  # descriptors: standard three, the reactor's own, listener, feed, and some that are closing
+    0.125  # for bodies from clients and unread answers: separate, so that neither starves the other
 )
+PARTIAL_FRAME_SHARE = 0.0625  # for incomplete frames
+RESERVED_DESCRIPTORS = 24  # for standard streams, reactor, listener, feed and some that are closing
 
 
 class Lookup:
-    """One that is held, or whose sends still run."""
+    """A lookup that is not answered yet, or whose sends still run."""
 
     __slots__ = ("number", "call", "request", "deadline", "send_count", "active_sends", "answered")
 
@@ -43,8 +41,10 @@
 
 
 class Router:
+    """One router: input from the front, the caches and the feed goes to Control, its effects are executed."""
+
     def __init__(self, start, reactor, log, counters, wall=time.time, steady=None, fleet_view=None):
-        """steady: a clock that no one sets, tenths of a millisecond, for leases; None: the machine's.
+        """steady: monotonic clock for leases, tenths of a millisecond; None: the system's.
         fleet_view: loads reported by other routers, queried by the decisions; None: decides alone.
         """
         self.log, self.counters, self.wall = log, counters, wall
@@ -52,13 +52,13 @@
         terms = self.terms = start.terms
         self.kinds = {kind.name: kind for kind in terms.kinds}
         self.lookups = Slots(max(1, terms.max_pending_lookups))
-        self.by_call = {}  # call of the front -> number
+        self.by_call = {}  # call of the front -> lookup number
         self.latest_time = self.decision_time = 0
         self.storable_results = {}  # (lookup number, send number) -> (request, result) while being decided
-        self.copies = {}  # kind, object, part -> (tag, pieces, length)
+        self.copies = {}  # (kind, object, part) -> (revision, pieces, length)
         self.deadlines = Deadlines(reactor)
         self.inputs, self.deciding = deque(), False
-        self.open_trace_ids = set()  # ids that clients gave, of lookups that are open or sent
+        self.open_trace_ids = set()  # client-given ids of lookups that are open or have sends running
         max_clients = start.sockets // 3
         available_bytes = available_memory(start.memory)
         cache_bodies, client_bodies = (
@@ -86,7 +86,7 @@
         )
         self.feed = Feed(reactor, self.deadlines, self, start.feed, start.last_event, log, self.count)
         self.has_cache_list = self.stopping = False
-        self.final_deadline = inf  # what comes at the end is due before the process may be killed
+        self.final_deadline = inf  # during shutdown, lookups are due before the process may be killed
         self.guard = self.purges = None
         if start.purges is not None:  # imported only then
             from .purging import Purging
@@ -94,8 +94,8 @@
             self.purges = Purging(start, reactor, self.deadlines, self, log, self.count, steady)
             self.guard = self.purges.guard
         self.control = Control(start.seed, terms, self.guard, fleet_view)
-        self.warming_observer = None  # of what is asked, where this router takes part in warming
-        self.cache_loads = None  # of sends by cache, where this router tells its fleet
+        self.warming_observer = None  # set where this router takes part in warming
+        self.cache_loads = None  # set where this router shares its loads with the fleet
         self.waiting_for_neighbours = False  # not ready until neighbours have sent their state
         self.trace = None
         if start.trace is not None:  # imported only then
@@ -108,7 +108,7 @@
             else:
                 self.on_purge(event)
 
-    # ---- the clock and the module
+    # ---- clock and Control
 
     def now(self):
         """Unix time in tenths of a millisecond; it never goes back."""
@@ -118,7 +118,7 @@
         return self.latest_time
 
     def handle_event(self, event):
-        """One input to the module, after those that wait; what it says is carried out at once."""
+        """Passes an input to Control after those already queued, and executes the effects at once."""
         self.inputs.append(event)
         if self.deciding:
             return
@@ -136,7 +136,7 @@
         except Exception:
             self.count("decisions_failed")
             self.log("decision code failed", traceback.format_exc())
-            # What it had said before it failed counts; the lookups concerned are owed their answers.
+            # Effects produced before the failure are executed; the affected lookups fail.
             affected = self._affected_lookups(event)
             effects = [*self.control.effects, *map(interface.Fail, affected)]
             self.inputs.extend(map(interface.ClientGone, affected))
@@ -149,7 +149,9 @@
             self.storable_results.pop((event.id, event.send), None)
 
     def _affected_lookups(self, event):
-        """Those whom nobody will answer now: the event's own, or, with an alarm lost, all that are due."""
+        """Lookups that nothing else will answer: that of the event, and, as an alarm may be lost, all that
+        are overdue.
+        """
         own_number = event.id if isinstance(event, (interface.Lookup, interface.SendEnd)) else None
         return [
             lookup.number
@@ -158,15 +160,19 @@
         ]
 
     def seconds_until(self, span):
-        """Seconds until that long after the decision: an alarm and a send for one moment end together."""
+        """Seconds until the given time after the current decision, so that an alarm and a send for the same
+        moment end together.
+        """
         return max(0.0, (self.decision_time + span) / SECOND - self.wall())
 
-    # ---- from the front
+    # ---- callbacks of the front
 
     def ready(self):
+        """Whether lookups can be served; false before the first cache list and during shutdown."""
         return self.has_cache_list and not self.stopping and not self.waiting_for_neighbours
 
     def on_lookup(self, call, request):
+        """A client made a call. Invalid ones are answered at once, the others become inputs of Control."""
         kind = self.kinds.get(request.kind)
         if kind is None:
             self.log("client asked for an unknown object kind, failed", request.kind)
@@ -175,12 +181,12 @@
             return
         if (
             kind.idempotency == interface.DEDUPLICATED and request.dedup_key is None
-        ):  # nobody would know a repeat by it
+        ):  # without a key no cache could recognise a repeat
             self.log("client left out the key of a deduplicated lookup, failed")
             self.count("keys_missing")
             self.front.failed(call, "replay is missing")
             return
-        if request.trace in self.open_trace_ids:  # caches could not tell the sends of the two apart
+        if request.trace in self.open_trace_ids:  # caches could not tell the sends of the two lookups apart
             self.log("client used the id of an open lookup, failed", request.trace)
             self.count("ids_used_twice")
             self.front.failed(call, "id is in use")
@@ -190,7 +196,7 @@
         )
         self.counters.lookup_taken(request.kind)
         lookup.number = self.lookups.take(lookup)
-        if lookup.number is None:  # the settings have such a lookup refused before it reaches the module
+        if lookup.number is None:  # by the settings such a lookup is rejected before it reaches Control
             self.log("more lookups than may be held, nacked")
             self.count("lookups_beyond_limit")
             self.answer(lookup, "nacked", self.front.nacked, 0)
@@ -213,26 +219,27 @@
         )
 
     def on_client_gone(self, call):
-        """The client waits no more."""
+        """The client of a call disconnected or withdrew it."""
         lookup = self.lookups.get(self.by_call[call])
         self._end(lookup, "given_up")
         self.handle_event(interface.ClientGone(lookup.number))
         self.cancel_unwritten_sends(lookup)
 
     def is_wanted(self, lookup):
-        """Whether its client still waits, by all that has come from it: what lies unread is read first."""
+        """Whether the client still waits; unread input of its connection is read first."""
         if not lookup.answered:
             self.front.read_pending(lookup.call)
         return not lookup.answered
 
     def answer_all_now(self):
-        """The end is near: what is held gets its answer now, whatever time its client would give it."""
+        """Fires all deadlines of lookups at once: the process is about to exit."""
         for token in self.control.alarm_tokens(DUE):
             self.handle_event(interface.Alarm(token))
 
-    # ---- from the feed
+    # ---- callbacks of the feed
 
     def on_cache_list(self, event):
+        """Applies a cache list event of the feed."""
         if event.snapshot:
             self.caches.keep_only({cache.id for cache in event.caches})
         for cache, address in zip(event.caches, event.addresses):
@@ -251,18 +258,24 @@
         self.has_cache_list = True
 
     def on_purge(self, event):
+        """Applies a purge of the platform's feed."""
         if self.warming_observer is not None:
             self.warming_observer.on_platform_purge(event, event.purged_at)
         self.handle_event(interface.Purged(max(0, self.now() - event.purged_at), event.group, event.object))
 
     def reload(self, start):
-        """What can change while it runs: where the feed is, and events that it has not told yet."""
+        """Applies the settings that can change while running: the address of the feed, and known events that
+        the feed has not sent yet.
+        """
         self.feed.apply_known(start.known)
         self.feed.move(start.feed)
 
-    # ---- lookups: taken above, given back here
+    # ---- the end of lookups
 
     def answer(self, lookup, outcome, write_answer, *values):
+        """Writes the final answer of a lookup by the given function of the front. end: one of
+        LOOKUP_OUTCOMES.
+        """
         write_answer(lookup.call, *values)
         self._end(lookup, outcome)
 
@@ -273,18 +286,21 @@
         self.release(lookup)
 
     def cancel_unwritten_sends(self, lookup):
-        """Sends of an ended lookup that are not written are no attempts yet: no leave to cancel is needed."""
+        """Cancels sends of an answered lookup that are not written: they are no attempts yet, so may_cancel
+        does not matter.
+        """
         for send in list(lookup.active_sends.values()) if lookup.answered else ():
             if send is not None and not send.written:
                 send.cancel()
 
     def release(self, lookup):
-        """Its slot is free once it is answered and none of its sends runs."""
+        """Frees the slot of a lookup that is answered and has no sends running."""
         if lookup.answered and not lookup.active_sends and lookup.number is not None:
             self.lookups.give_back(lookup.number)
             self.open_trace_ids.remove(lookup.request.trace)
 
     def gauges(self):
+        """Gauges of this router, by name; see counters.gauges."""
         return gauges(self)
 
     def _on_memory_full(self):
--- a/hookrouter/node/service.py
+++ b/hookrouter/node/service.py
@@ -1,4 +1,4 @@
-"""The life of the process: listens, follows the feed, reloads on SIGHUP, and ends by itself after SIGTERM."""
+"""Life cycle of the process: listens, follows the feed, reloads on SIGHUP, shuts down on SIGTERM."""
 
 import signal
 
@@ -10,28 +10,37 @@
 from ..site import follows
 from ..terms import SECOND, Malformed
 
-ACCEPT_DURATION = 0.7  # seconds after SIGTERM: connections come for 0.4, lookups for 0.2 more; 0.1 to spare
+ACCEPT_DURATION = 0.7  # seconds after SIGTERM: connections arrive for 0.4, lookups for 0.2 more; 0.1 to spare
 MAX_EXIT_DURATION = (
-    3.0  # seconds: SIGKILL comes 0.7 s after that, or after the longest deadline where that is less
+    3.0  # seconds: SIGKILL comes 0.7 s later, or 0.7 s after the longest deadline if that is shorter
 )
-EXIT_MARGIN = 0.65  # seconds after it who does not read is cut off
+EXIT_MARGIN = 0.65  # seconds after that, clients that do not read are disconnected
 ANSWER_MARGIN = (
-    0.08  # seconds before that all is answered: some ways to the client, as a cut may lose answers
+    0.08  # seconds before that, all is answered: some round trips, as a disconnect may lose answers
 )
-BACKLOG = 512  # connections that wait to be accepted: more than clients may hold of 1,024 descriptors
-DRAIN_CHECK_INTERVAL = 0.02  # seconds between looks whether all is answered
-FIXED_SETTINGS = ("name", "listen", "seed", "memory", "sockets", "terms")  # all but the feed's address
+BACKLOG = 512  # listen queue: more connections than clients may hold of 1,024 descriptors
+DRAIN_CHECK_INTERVAL = 0.02  # seconds between checks whether all is answered
+FIXED_SETTINGS = (
+    "name",
+    "listen",
+    "seed",
+    "memory",
+    "sockets",
+    "terms",
+)  # fixed until a restart: all but the feed's address
 
 
 def without_reloadable(purges):
-    """The section without what can change while it runs."""
+    """The section [purges] without the keys that can change while running."""
     return purges and {key: value for key, value in purges.items() if key not in ("follow", "desk")}
 
 
 class Service:
+    """Runs one router until SIGTERM."""
+
     def __init__(self, router, start, reactor, log, counters, read_start, member=None):
-        """read: gives the start anew, as serve and check read it, or raises Malformed. member: this router's
-        part in its fleet, where the operator's file has one: start, leave, end.
+        """read_start: reads the configuration anew as serve and check do, or raises Malformed. member: this
+        router's member of the fleet with start, leave and end, or None.
         """
         self.member = member
         self.router, self.start, self.reactor, self.log, self.counters = router, start, reactor, log, counters
@@ -39,7 +48,7 @@
         self.port, self.listener_closed = None, False
 
     def run(self, signals):
-        """Returns the exit code."""
+        """Serves until the process is told to stop; returns the exit code, 1 if it cannot listen."""
         host, number = self.start.listen
         try:
             self.port = Listener(number, self.router.front, BACKLOG, host, self.reactor)
@@ -72,18 +81,21 @@
         return 0
 
     def _on_twisted_event(self, event):
-        """What Twisted says: of interest only where something failed that nobody caught."""
+        """Twisted's log events: only uncaught errors are logged."""
         if event["log_level"] in (LogLevel.error, LogLevel.critical):
             self.counters.count("errors_uncaught")
             failure = event.get("log_failure")
             self.log("uncaught error", failure.getTraceback() if failure is not None else formatEvent(event))
 
     def log_counters(self):
+        """Writes all counters and gauges to the log."""
         for line in self.counters.lines(self.router.gauges()):
             self.log.plain(line)
 
     def reload(self):
-        """All of what is read anew can be used, or none of it is."""
+        """Reads the configuration anew and applies what can change; nothing is applied if any of it is
+        invalid.
+        """
         if self.router.stopping:
             return
         try:
@@ -111,6 +123,7 @@
             self.router.purges.feed.move(follows(start.purges))
 
     def stop(self):
+        """Begins the shutdown; later calls do nothing."""
         if self.router.stopping:
             return
         self.router.stopping = True
@@ -126,7 +139,9 @@
 
     def _check_drained(self):
         front = self.router.front
-        if not self.listener_closed and not front.full():  # else whoever waits in the queue would be reset
+        if (
+            not self.listener_closed and not front.full()
+        ):  # closed while full, it would reset connections in the listen queue
             self.listener_closed = True
             self.port.stopListening()
         front.close_idle()
@@ -138,5 +153,5 @@
             self.member.end()
         if self.router.purges is None:
             self.reactor.stop()
-        else:  # nothing is answered any more: no purge has to wait for this router
+        else:  # tells the desk that no purge has to wait for this router any more
             self.router.purges.feed.leave().addBoth(lambda _: self.reactor.stop())
--- a/hookrouter/node/shared_state.py
+++ b/hookrouter/node/shared_state.py
@@ -1,19 +1,20 @@
-"""What a router tells its fleet of itself, and what it takes over from it at a start.
+"""State that a router shares with its fleet, and what it adopts from neighbours at start.
 
-Decides nothing: it copies rows out of the decisions' arrays and, at a start, into them.
+Makes no decisions: it copies rows out of the arrays of Control and, at start, into them.
 """
 
 from ..decisions.sharing import soft
 from ..decisions.sharing import words as words
 from .cache_loads import CacheLoads
 
-NEIGHBOUR_WEIGHT = 0.5  # of what is told counts at a start, beside what stands here
+NEIGHBOUR_WEIGHT = 0.5  # weight of the neighbours' averages at start, beside the own ones
 
 
 class SharedState:
-    """router: the node's Router; its tally and its readiness are set by this."""
+    """The state argument of fleet.member.sharing.Sharing for one router."""
 
     def __init__(self, router):
+        """router: the node's Router; its cache_loads is set here."""
         self.router, self.control = router, router.control
         self.cache_loads = router.cache_loads = CacheLoads()
         self.health, self.times, self.cold = (
@@ -23,18 +24,19 @@
         )
 
     def loads(self, now):
+        """Loads by cache, see CacheLoads.sample."""
         return self.cache_loads.sample(now)
 
     def listed(self):
-        """Whether the feed has told which caches there are: rows of others find no place here."""
+        """Whether the feed has sent a cache list: without it rows of neighbours cannot be assigned."""
         return self.router.has_cache_list
 
     def wait(self, waiting):
-        """Whether this router says that it is not ready yet."""
+        """Sets whether this router reports that it is not ready yet."""
         self.router.waiting_for_neighbours = waiting
 
     def learnt(self):
-        """soft.Learnt: what is known here of caches and of answer times."""
+        """soft.Learnt: what this router knows about caches and answer times."""
         control, now, soft_rows = self.control, self.router.now(), []
         for name, row in control.row_by_id.items():
             if name not in self.cache_loads.listed_caches or not control.last_answer_at[row]:
@@ -61,7 +63,7 @@
         return soft.Learnt(soft_rows[: soft.MOST_CACHES], kind_times[: soft.MOST_KINDS])
 
     def adopt(self, lent_states):
-        """told: soft.Learnt of each neighbour that lent; number of rows taken over."""
+        """Merges soft.Learnt of several neighbours into Control; returns the number of rows adopted."""
         merged, control = soft.adopted(lent_states), self.control
         for cache, strikes in merged.strikes.items():
             row = control.row_by_id.get(cache)
--- a/hookrouter/node/signals.py
+++ b/hookrouter/node/signals.py
@@ -1,4 +1,4 @@
-"""Signals: kept from the first moment of the program on, and told to the service once it runs.
+"""Records signals from the start of the program and passes them to the service once it runs.
 
 Without a handler SIGHUP, SIGTERM and SIGUSR1 end a process, also while it reads its configuration.
 """
@@ -9,6 +9,8 @@
 
 
 class Signals:
+    """Handlers of HANDLED_SIGNALS; signals that arrive before on_signal() are queued."""
+
     def __init__(self):
         self.pending = []
         self.handler = self.pending.append
@@ -16,7 +18,7 @@
             signal.signal(number, lambda number, _: self.handler(number))
 
     def on_signal(self, handler):
-        """call(number) for each signal from here on, and at once for each that came before."""
+        """Sets the function that gets each signal number, and calls it for the queued ones."""
         self.handler = handler
         while self.pending:
             handler(self.pending.pop(0))
--- a/hookrouter/node/start.py
+++ b/hookrouter/node/start.py
@@ -1,4 +1,4 @@
-"""What a router reads at start: EDGE_NAME, EDGE_LISTEN and the file that EDGE_CONFIG names."""
+"""Settings that a router reads at start: EDGE_NAME, EDGE_LISTEN and the file that EDGE_CONFIG names."""
 
 import json
 from typing import NamedTuple
@@ -8,43 +8,46 @@
 from ..feed.events import read_address
 from ..terms import Malformed
 
-MEGABYTE = 1_000_000  # bytes, the smaller reading of the limit
-PROGRAM_MEGABYTES = 24  # MB that the program takes itself, before it holds anything
-MIN_MEGABYTES = 2  # MB for all that it holds, however little the program leaves
-OWN_COPY_SHARE = (
-    0.3  # of what the program leaves, for copies of its own; the shares of the rest are node/router.py's
-)
+MEGABYTE = 1_000_000  # bytes; the limit could also mean 2**20, this is the safe reading
+PROGRAM_MEGABYTES = 24  # MB that the idle program takes
+MIN_MEGABYTES = 2  # MB at least for bodies, frames and copies, however small the limit is
+OWN_COPY_SHARE = 0.3  # share of the available memory for own copies; the other shares are in node/router.py
 
 
 def available_memory(memory):
-    """Bytes for what the router holds."""
+    """Bytes left for bodies, frames and copies under a limit of so many MB."""
     return max(MIN_MEGABYTES, memory - PROGRAM_MEGABYTES) * MEGABYTE
 
 
 class Start(NamedTuple):
+    """Settings of one router, as read at start."""
+
     name: str
     listen: tuple
     seed: str | int
-    memory: int  # MB in all
-    sockets: int  # descriptors in all
+    memory: int  # limit of the process, MB
+    sockets: int  # limit of the process, descriptors
     feed: tuple
     terms: interface.Terms
-    purges: dict | None  # the operator's section, where fleet-wide purges are on
-    paced: bool  # with [admission]: it comes back to whom it follows as it is told
-    tags: dict | None  # object -> its tags, where these come from a file
-    trace: dict | None  # the operator's section, where decisions are traced
-    last_event: int  # number of the newest known event
+    purges: dict | None  # section [purges] of the operator's file, or None
+    paced: bool  # with [admission]: reconnects to the purge feed when the server says so
+    tags: dict | None  # object -> its tags, if these are read from a file
+    trace: dict | None  # section [trace] of the operator's file, or None
+    last_event: int  # number of the newest event in known
     known: list
 
 
 def read_seed(value, key):
+    """A seed: text or an integer. key: its name, for the error."""
     if type(value) not in (str, int):
         raise Malformed(f"{key}: text or a whole number is wanted, not {terms.excerpt(value)}")
     return value
 
 
 def read_purges(purges, kinds, open_file):
-    """(section, tags by object or None): what the two files say together, or Malformed."""
+    """(section, tags by object or None): the two files together; Malformed if they contradict each other or
+    the tag file cannot be read.
+    """
     for kind in kinds:
         if kind.fresh_duration + kind.stale_grace > purges["hold"]:
             raise Malformed(
@@ -63,7 +66,9 @@
 
 
 def read_start(environment, open_file=open, sections=None):
-    """sections: of the operator's file. Malformed names the variable or key that cannot be used."""
+    """Reads all settings. sections: of the operator's file. Malformed names the variable or key that is
+    invalid.
+    """
     path = environment.get("EDGE_CONFIG")
     if not path:
         raise Malformed("EDGE_CONFIG is not set")
--- a/hookrouter/node/tracing.py
+++ b/hookrouter/node/tracing.py
@@ -1,16 +1,14 @@
-"""The trace of one router: lines collected, written in blocks; off at the first fault of the disk."""
+"""Trace of one router: rows are collected and written in blocks; a disk error turns tracing off."""
 
 from ..stores.trace_log import TraceLog
 from ..trace.rows import Recorder, header_of
 
-BLOCK_BYTES = (
-    64_000  # bytes of lines that are compressed at once: some hundred decisions, under a millisecond
-)
-MAX_WRITE_DELAY = 1.0  # seconds that a line waits at most: what a crash costs
+BLOCK_BYTES = 64_000  # bytes compressed at once: some hundred decisions, under a millisecond
+MAX_WRITE_DELAY = 1.0  # seconds that a row waits for the disk at most: what a crash loses
 
 
 class Tracing:
-    """One router's; write() is called by decisions, the rest by whoever owns it."""
+    """Trace writer of one router."""
 
     def __init__(self, start, started_at, guarded, deadlines, log, count):
         self.deadlines, self.log, self.count = deadlines, log, count
@@ -19,6 +17,7 @@
         self.write_timer = None
 
     def record(self, now, event, effects, control, trace_id):
+        """Adds a decision to the trace; trace_id: of the lookup, or None."""
         if self.store is None:
             return
         self.recorder.decided(now, event, effects, control, trace_id)
@@ -28,6 +27,7 @@
             self.write_timer = self.deadlines.after(MAX_WRITE_DELAY, self.write)
 
     def write(self):
+        """Writes the collected rows now."""
         if self.write_timer is not None:
             self.deadlines.drop(self.write_timer)
             self.write_timer = None
@@ -36,12 +36,13 @@
         try:
             self.store.write(self.recorder.fetch())
         except OSError as error:
-            # Lookups go on: an account of them is worth less than they are.
+            # Lookups go on: the trace matters less than serving them.
             self.count("traces_failed")
             self.log("trace cannot be written, off until a restart", str(error), level="error")
             self._disable()
 
     def close(self):
+        """Writes the remaining rows and closes the file."""
         self.write()
         self._disable()
 
