--- a/benchmarks/owners/costs.py
+++ b/benchmarks/owners/costs.py
@@ -94,13 +94,17 @@
     """
     sys.path.insert(0, str(Path(__file__).parent.parent.parent / "tests"))
     from fleet import configuration, endpoint, members, message
-    from processes import Cache, FeedStandIn, Standing, ask
+    from processes import BackgroundServer, Cache, FeedStandIn, ask
 
     from standins.ports import free_port
 
     shares = {}
     for fleet in (True, False):
-        with tempfile.TemporaryDirectory() as folder, Standing(Cache) as cache, Standing(FeedStandIn) as feed:
+        with (
+            tempfile.TemporaryDirectory() as folder,
+            BackgroundServer(Cache) as cache,
+            BackgroundServer(FeedStandIn) as feed,
+        ):
             rig, ports, counted = Rig(folder, keepers=5, members=5), {}, [0, 0]
             for name in rig.names:
                 ports[name] = free_port()
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -1,8 +1,9 @@
-"""A whole router on real loopback sockets, stepped by the test, and the table of what ends against what may come.
+"""A whole router on real loopback sockets, stepped by the test.
 
-The reactor is Twisted's own, but the test calls its two halves, timers and reads, and moves its clock: after a
-pause of the process timers run before reads, and here the pause is one line. Whose readiness is handled first,
-and a dial that is not answered yet, are made the same way. What comes is real: bytes, FIN, reset, full buffers.
+Tests use it to let two events occur at the same moment, in each order. The reactor is Twisted's own, but the
+test calls its two halves, timers and reads, and sets its clock, so a pause of the process (after which timers
+run before reads) is one line. The order in which ready sockets are handled, and connects that are not
+answered yet, are set the same way. The input is real: bytes, FIN, reset, full buffers.
 """
 
 import fcntl
@@ -14,7 +15,7 @@
 
 import pytest
 from fleet import answer, answers, configuration, endpoint, members, message
-from scenes import BEGAN, Out
+from scenes import START_TIME, LogBuffer
 from twisted.internet.epollreactor import EPollReactor
 from twisted.internet.tcp import Client as Outgoing
 from twisted.internet.tcp import Server as Incoming
@@ -27,18 +28,18 @@
 from hookrouter.node.start import read_start
 
 LOCAL = "127.0.0.1"
-MOST_STEPS = 2_000  # until something holds that has to
+MAX_STEPS = 2_000  # until a condition must hold
 CACHES, CLIENTS = (Outgoing, Incoming), (Incoming, Outgoing)  # whose readiness is handled first
-ATTEMPT = 3.2  # seconds: the deadline of a first attempt of the tests' settings is over
-RESET = struct.pack("ii", 1, 0)  # of SO_LINGER: a close resets
-CALL = "c" * 16  # the trace of the call that crosses something
-FILLER = message(90, b"interrupt", interrupted=10**6)  # owed nothing: no such call was made
+ATTEMPT_TIMEOUT = 3.2  # seconds after which a first attempt has timed out under the tests' settings
+RESET = struct.pack("ii", 1, 0)  # value of SO_LINGER with which a close sends a reset
+CALL = "c" * 16  # trace id of the call under test
+FILLER = message(90, b"interrupt", interrupted=10**6)  # names no open call, so it has no effect
 EVENTS = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n:\n\n"
 FIRST = pytest.mark.parametrize("first", [CACHES, CLIENTS], ids=["caches first", "clients first"])
 
 
 class Poller:
-    """An epoll whose events come in the test's order; a dial to a held port is not answered yet."""
+    """An epoll that returns events in the test's order and holds back connects to the held ports."""
 
     def __init__(self, epoll, reactor):
         self.epoll, self.reactor = epoll, reactor
@@ -58,11 +59,17 @@
             ),
         )
 
-    def _held(self, one):
-        return isinstance(one, Outgoing) and not one.connected and one.addr[1] in self.reactor.held_ports
+    def _held(self, selectable):
+        return (
+            isinstance(selectable, Outgoing)
+            and not selectable.connected
+            and selectable.addr[1] in self.reactor.held_ports
+        )
 
 
 class Reactor(EPollReactor):
+    """Epoll reactor with a clock that the test sets."""
+
     def __init__(self):
         super().__init__()
         self.now, self.first, self.held_ports, self.stops = 0.0, CACHES, set(), 0
@@ -75,22 +82,22 @@
         self.stops += 1
 
     def close(self):
-        for one in [*self._selectables.values()]:
-            if one is not self.waker:
-                one.stopReading(), one.stopWriting()
-                if getattr(one, "socket", None) is not None:
-                    one.socket.close()
+        for selectable in [*self._selectables.values()]:
+            if selectable is not self.waker:
+                selectable.stopReading(), selectable.stopWriting()
+                if getattr(selectable, "socket", None) is not None:
+                    selectable.socket.close()
         self.waker.connectionLost(None)
         self._poller.epoll.close()
 
 
 class Peer:
-    """One end of a connection that the test holds: what came is kept, and how it ended."""
+    """One end of a connection that the test holds; records what arrived and how the connection ended."""
 
     def __init__(self, sock):
         self.socket, self.got, self.end, self.pending, self.answered = sock, b"", None, 0, 0
         sock.setblocking(False)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # what is sent is not held back
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # sends at once
 
     def send(self, data):
         self.socket.setblocking(True)
@@ -123,11 +130,13 @@
         return answers(self.read())
 
     def body(self, seqid):
-        """Of a satisfied answer; None where it is another one."""
+        """Body of a satisfied answer; None for another one."""
         return self.answers()[seqid][1].get(0, {}).get(1)
 
     def ended_cleanly(self):
-        """A FIN came, and no reset after it: that one shows as both halves being shut, and in the next write."""
+        """Whether a FIN came and no reset after it: a reset shows as both halves being shut, and in the next
+        write.
+        """
         self.read()
         poll = select.poll()
         poll.register(self.socket, select.POLLIN)
@@ -159,19 +168,21 @@
 
 
 def sockets_for(caches):
-    """The least limit of descriptors that leaves caches so many."""
+    """The smallest limit of descriptors that leaves so many for caches."""
     return next(n for n in range(4096) if n - n // 3 - RESERVED_DESCRIPTORS == caches)
 
 
-class Machine:
-    """The router, its caches, its feed and its clients. sections: of the start. terms: of the settings."""
+class RouterMachine:
+    """The router, its caches, its feed and its clients. sections: changes of the start. terms, kinds: changes
+    of the settings.
+    """
 
     def __init__(self, tmp_path, terms=None, kinds=None, **sections):
-        self.reactor, self.out = Reactor(), Out()
+        self.reactor, self.out = Reactor(), LogBuffer()
         self.caches = {name: StandIn() for name in ("c0", "p0", "o0")}
         self.feed, self.clients, self.port = StandIn(), [], None
-        sorts = {"c0": "box", "p0": "parent", "o0": "origin"}
-        fleet = [endpoint(name, cache.port, sorts[name]) for name, cache in self.caches.items()]
+        machine_types = {"c0": "box", "p0": "parent", "o0": "origin"}
+        fleet = [endpoint(name, cache.port, machine_types[name]) for name, cache in self.caches.items()]
         path = tmp_path / "config.json"
         path.write_text(
             json.dumps(
@@ -181,35 +192,39 @@
             )
         )
         start = read_start({"EDGE_CONFIG": str(path)})
-        told = tuple(kind._replace(**(kinds or {}).get(kind.name, {})) for kind in start.terms.kinds)
-        self.start = start._replace(terms=start.terms._replace(kinds=told, **(terms or {})), **sections)
+        kinds_with_changes = tuple(
+            kind._replace(**(kinds or {}).get(kind.name, {})) for kind in start.terms.kinds
+        )
+        self.start = start._replace(
+            terms=start.terms._replace(kinds=kinds_with_changes, **(terms or {})), **sections
+        )
         self.counters = Counters([kind.name for kind in self.start.terms.kinds])
         self.log = Log(self.reactor.seconds, self.out)
         self.router = Router(
-            self.start, self.reactor, self.log, self.counters, lambda: BEGAN + self.reactor.now
+            self.start, self.reactor, self.log, self.counters, lambda: START_TIME + self.reactor.now
         )
         self.port = Listener(0, self.router.front, 64, LOCAL, self.reactor)
         self.port.startListening()
-        self.listens = self.port.getHost().port
+        self.router_port = self.port.getHost().port
         self.router.front.port = self.port
 
     def __enter__(self):
         return self
 
     def __exit__(self, *_):
-        for one in (*self.caches.values(), self.feed):
-            one.close()
+        for selectable in (*self.caches.values(), self.feed):
+            selectable.close()
         for client in self.clients:
             client.socket.close()
         self.reactor.close()
 
-    # ---- the halves of a turn, and time
+    # ---- the two halves of a reactor turn, and time
 
     def timers(self):
         self.reactor.runUntilCurrent()
 
     def reads(self):
-        """And writes: what is ready, once."""
+        """Handles ready sockets once, reads and writes."""
         self.reactor.doIteration(0)
         for client in self.clients:
             client.pending = 0
@@ -222,11 +237,11 @@
         for _ in range(count):
             self.turn()
 
-    def until(self, holds, within=0.0):
-        """Turns until it holds; time goes on meanwhile only where it says within how much."""
+    def until(self, condition, within=0.0):
+        """Runs turns until the condition holds; time advances only if `within` gives a limit in seconds."""
         end = self.reactor.now + within
-        for _ in range(MOST_STEPS):
-            if holds():
+        for _ in range(MAX_STEPS):
+            if condition():
                 return
             assert not within or self.reactor.now < end, "it took too long"
             self.reactor.now = min(end, self.reactor.now + 0.01)
@@ -237,11 +252,11 @@
         raise AssertionError("it never came to this")
 
     def pause(self, seconds):
-        """The process stands still: time goes on, and nothing runs."""
+        """The process is stopped: time advances and nothing runs."""
         self.reactor.now += seconds
 
     def advance(self, seconds, pace=0.02):
-        """Time goes on, and the process with it."""
+        """Time advances and the process runs."""
         end = self.reactor.now + seconds
         while self.reactor.now < end:
             self.reactor.now = min(end, self.reactor.now + pace)
@@ -250,11 +265,11 @@
     # ---- clients and caches
 
     def client(self, rcvbuf=None, within=0.0):
-        """One that is accepted; within so much time."""
+        """A client connection that was accepted, within so many seconds."""
         sock = socket.socket()
         if rcvbuf is not None:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, rcvbuf)
-        sock.connect((LOCAL, self.listens))
+        sock.connect((LOCAL, self.router_port))
         client = Peer(sock)
         client.name, client.transport = sock.getsockname(), None
         self.clients.append(client)
@@ -262,24 +277,26 @@
         return client
 
     def _joined(self, client):
-        for one in list(self.reactor._selectables.values()):
-            if isinstance(one, Incoming) and one.client == client.name:
-                client.transport = one
+        for selectable in list(self.reactor._selectables.values()):
+            if isinstance(selectable, Incoming) and selectable.client == client.name:
+                client.transport = selectable
         return client.transport is not None
 
-    def lies_unread(self, client, end=False):
-        """Waits for the machine: what was sent since the last reads lies in the router's socket, or its end does."""
+    def wait_until_unread(self, client, end=False):
+        """Waits until the data sent since the last reads, or the end, has arrived unread in the router's
+        socket.
+        """
         sock, poll = client.transport.socket, select.poll()
         poll.register(sock, select.POLLRDHUP)
-        for _ in range(MOST_STEPS):
+        for _ in range(MAX_STEPS):
             held = struct.unpack("i", fcntl.ioctl(sock, termios.FIONREAD, b"\0" * 4))[0]
             if held >= client.pending and (not end or poll.poll(0)):
                 return
             poll.poll(1)
         raise AssertionError("it never arrived")
 
-    def ends(self, client, how, seqid=8, behind=0):
-        """The client's end, which lies unread in the router's socket, behind so much that it takes as many reads more."""
+    def end_unread(self, client, how, seqid=8, behind=0):
+        """Lets the client's end arrive unread, behind so many fillers that each need another read."""
         if behind:
             client.transport.bufferSize = len(FILLER)
             client.send(FILLER * behind)
@@ -287,10 +304,10 @@
             client.send(message(seqid + 1, b"interrupt", interrupted=seqid))
         else:
             getattr(client, how)()
-        self.lies_unread(client, end=how != "interrupt")
+        self.wait_until_unread(client, end=how != "interrupt")
 
-    def warm(self, *fields):
-        """A client that has had an answer by way of two attempts, and idle connections to cache and parent.
+    def warm_client(self, *fields):
+        """A client that got an answer after two attempts, with idle connections to cache and parent.
 
         fields: of the cache's answer, which may close its connection.
         """
@@ -302,13 +319,13 @@
         self.advance(0.2)
         return client
 
-    def asked(self, ref=None):
-        """Attempts that reached a cache, by name, also where only their first bytes did."""
+    def attempts(self, ref=None):
+        """Names of the caches that attempts reached, also where only their first bytes arrived."""
         word = b"GET /fetch" if ref is None else b"X-Trace: " + ref.encode()
         return [name for name, cache in self.caches.items() for _ in range(cache.look().count(word))]
 
-    def asking(self):
-        """The connections on which a request came that is not answered."""
+    def unanswered(self):
+        """Connections with a request that is not answered yet."""
         for cache in self.caches.values():
             cache.look()
         return [
@@ -319,17 +336,17 @@
         ]
 
     def answer(self, body, *fields, status=200):
-        self.until(self.asking)
-        peer = self.asking()[0]
+        self.until(self.unanswered)
+        peer = self.unanswered()[0]
         peer.answered += 1
         peer.send(answer(status, body, *fields))
         return peer
 
-    def held(self):
+    def gauges(self):
         return self.router.gauges()
 
-    def nothing_is_owed(self):
-        held = self.held()
+    def assert_nothing_pending(self):
+        held = self.gauges()
         assert [held[name] for name in ("lookups_held", "sends_out", "sends_waiting")] == [0, 0, 0]
 
     def service(self, read=None):
@@ -337,25 +354,27 @@
         service.port = self.port
         return service
 
-    # ---- the watch
+    # ---- the feed
 
-    def follow(self):
-        """The watch begins, and is up: the feed's end of it."""
+    def start_feed(self):
+        """Starts to follow the feed; returns the feed's end of the connection."""
         self.router.feed.start()
-        return self.followed(self.feed, 0)
+        return self.accept_feed(self.feed, 0)
 
-    def followed(self, feed, known, within=0.0):
-        """The connection at the feed after so many others, which has asked for its events; within so much time."""
+    def accept_feed(self, feed, known, within=0.0):
+        """The next connection at the feed after so many known ones, once its request has arrived, within so
+        many seconds.
+        """
 
-        def asked():
+        def requested():
             feed.look()
             return len(feed.peers) > known and b"\r\n\r\n" in feed.peers[known].got
 
-        self.until(asked, within)
+        self.until(requested, within)
         feed.peers[known].send(EVENTS)
         self.turns()
         return feed.peers[known]
 
 
-def event(told):
-    return b"id: %d\ndata: %s\n\n" % (told["n"], json.dumps(told).encode())
+def event(feed_event):
+    return b"id: %d\ndata: %s\n\n" % (feed_event["n"], json.dumps(feed_event).encode())
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""A router as a process on loopback, and small stand-ins for what it talks to."""
+"""A router as a process on loopback, and small servers for its caches and feed."""
 
 import os
 import socketserver
@@ -10,33 +10,37 @@
 
 
 class Cache(socketserver.BaseRequestHandler):
-    """Answers every request with its path, part 7 with much more; asked for part 9 it keeps silent."""
+    """Answers every request with its path, part 7 with a longer body; part 9 is never answered."""
 
     def handle(self):
         head = b""
         while piece := self.request.recv(65536):
             head += piece
             while b"\r\n\r\n" in head:
-                one, _, head = head.partition(b"\r\n\r\n")
-                target = one.split(b" ")[1]
+                head_part, _, head = head.partition(b"\r\n\r\n")
+                target = head_part.split(b" ")[1]
                 if not target.endswith(b"/9"):
                     self.request.sendall(
-                        answer(200, target * (7_000 if target.endswith(b"/7") else 1), *self.told())
+                        answer(200, target * (7_000 if target.endswith(b"/7") else 1), *self.extra_fields())
                     )
 
-    def told(self):
-        """Further fields: none, so its copies are as old as can be."""
+    def extra_fields(self):
+        """Further header fields; without X-Since-Ms a copy counts as very old."""
         return ()
 
 
 class FeedStandIn(socketserver.BaseRequestHandler):
+    """Accepts one follower and sends no events."""
+
     def handle(self):
         self.request.recv(65536)
         self.request.sendall(b"HTTP/1.1 200 OK\r\n\r\n: here\n\n")
         self.request.recv(1)
 
 
-class Standing:
+class BackgroundServer:
+    """Runs a TCP server in a thread."""
+
     def __init__(self, handler):
         self.server = socketserver.ThreadingTCPServer(("127.0.0.1", 0), handler)
         self.server.daemon_threads = True
@@ -52,22 +56,24 @@
 
 
 def ask(connection, data, count):
+    """Sends data and reads until so many answers have arrived."""
     connection.sendall(data)
-    got = b""
-    while len(seen := answers(got)) < count:
+    received = b""
+    while len(replies := answers(received)) < count:
         piece = connection.recv(65536)
         assert piece
-        got += piece
-    return seen
+        received += piece
+    return replies
 
 
-def serving(path):
+def start_router(path):
+    """Starts the router process; returns it and its port."""
     process = subprocess.Popen(
         [sys.executable, "-m", "hookrouter", "serve"],
         stderr=subprocess.PIPE,
         text=True,
         env={**os.environ, "EDGE_CONFIG": str(path), "EDGE_NAME": "n1"},
     )
-    said = process.stderr.readline()
-    assert "serving: n1 on 127.0.0.1:" in said
-    return process, int(said.rsplit(":", 1)[1])
+    first_line = process.stderr.readline()
+    assert "serving: n1 on 127.0.0.1:" in first_line
+    return process, int(first_line.rsplit(":", 1)[1])
--- a/tests/scenes.py
+++ b/tests/scenes.py
@@ -1,4 +1,4 @@
-"""A whole router in memory with a simulated clock, a small fleet around it."""
+"""A whole router in memory with a simulated clock, and a small fleet of caches."""
 
 import json
 
@@ -16,10 +16,12 @@
     endpoint("p0", 7102, "parent"),
     endpoint("o0", 7103, "origin"),
 )
-BEGAN = 1_700_000_000.0
+START_TIME = 1_700_000_000.0
 
 
-class Out:
+class LogBuffer:
+    """Stream that keeps the log in memory."""
+
     def __init__(self):
         self.text = ""
 
@@ -30,22 +32,25 @@
         pass
 
 
-def started(tmp_path, stated):
+def read_config(tmp_path, config):
+    """Start of a router from a configuration given as text or as an object."""
     path = tmp_path / "config.json"
-    path.write_text(stated if isinstance(stated, str) else json.dumps(stated))
+    path.write_text(config if isinstance(config, str) else json.dumps(config))
     return read_start({"EDGE_CONFIG": str(path)})
 
 
 class Scene:
+    """A router; more: further known events; sections: changes of the start."""
+
     def __init__(self, tmp_path, *more, **sections):
-        self.net, self.out = Net(), Out()
-        self.start = started(tmp_path, configuration(members(1, *FLEET, whole=True), *more))._replace(
+        self.net, self.out = Net(), LogBuffer()
+        self.start = read_config(tmp_path, configuration(members(1, *FLEET, whole=True), *more))._replace(
             **sections
         )
         self.counters = Counters([kind.name for kind in self.start.terms.kinds])
         self.log = Log(self.net.seconds, self.out)
         self.router = Router(
-            self.start, self.net, self.log, self.counters, lambda: BEGAN + self.net.seconds()
+            self.start, self.net, self.log, self.counters, lambda: START_TIME + self.net.seconds()
         )
 
     def client(self):
@@ -54,17 +59,18 @@
     def up(self):
         return self.net.ways[-1].up()
 
-    def stoppable(self):
-        """A service around the router, and when it stopped."""
+    def make_service(self):
+        """A service around the router, and the list that gets the time when it stops."""
         stopped = []
         self.net.stop = lambda: stopped.append(self.net.seconds())
         service = Service(self.router, self.start, self.net, self.log, self.counters, None)
         service.port = type("Port", (), {"stopListening": lambda self: None})()
         return service, stopped
 
-    def adds_up(self):
-        values, held = self.counters.values, self.router.gauges()
-        word = lambda name: sum(v for key, v in values.items() if key.startswith(f"lookups_{name}."))  # noqa: E731
-        ends = sum(word(end) for end in ("satisfied", "nacked", "failed", "given_up"))
-        assert word("taken") == ends + held["lookups_held"]
-        return held
+    def check_counters(self):
+        """Checks that taken lookups equal ended ones plus those held; returns the gauges."""
+        values, gauges = self.counters.values, self.router.gauges()
+        total = lambda name: sum(v for key, v in values.items() if key.startswith(f"lookups_{name}."))  # noqa: E731
+        ends = sum(total(end) for end in ("satisfied", "nacked", "failed", "given_up"))
+        assert total("taken") == ends + gauges["lookups_held"]
+        return gauges
--- a/tests/test_admission_network.py
+++ b/tests/test_admission_network.py
@@ -4,9 +4,9 @@
 import time
 
 from fleet import answer, configuration, endpoint, members
-from processes import Cache, Standing
+from processes import BackgroundServer, Cache
 from purging import event, purges, site
-from test_purge_follower import Following
+from test_purge_follower import FollowerScene
 
 from hookrouter.feed.reconnect_pacing import ReconnectPacing
 from standins.ports import free_port
@@ -14,8 +14,8 @@
 
 
 def test_a_follower_that_is_told_comes_back_then_with_its_ticket(tmp_path):
-    s = Following(tmp_path)
-    s.desk.lease_left = lambda: 1_234
+    s = FollowerScene(tmp_path)
+    s.handler.lease_left = lambda: 1_234
     s.feed.pace()
     s.feed.on_disconnected(s.feed.stream, "closed")  # told nothing: by jitter
     assert 0.02 <= s.net.seconds() + s.feed.pause <= 0.4 and isinstance(s.feed.pacing, ReconnectPacing)
@@ -32,13 +32,13 @@
     line = s.stream()
     assert b"X-Ticket: abcd" in line.asked and s.feed.pacing.reconnector.cap() == 16_000
     s.send(line, event("purges", 5, purges=purges(1)))
-    assert s.desk.applied == [1] and s.feed.pacing.reconnector.ticket == ""
+    assert s.handler.applied == [1] and s.feed.pacing.reconnector.ticket == ""
 
 
 def test_a_desk_killed_twice_within_one_storm_of_processes(tmp_path):
     """Routers and followers come back each time; no purge that was acknowledged is lost or answered against."""
     assert site(tmp_path)["purges"]
-    with Standing(Cache) as cache, Storm(tmp_path) as storm:
+    with BackgroundServer(Cache) as cache, Storm(tmp_path) as storm:
         desk = storm.desk()
         storm.relay()
         fleet = [endpoint("c0", cache.port), endpoint("o0", cache.port, "origin")]
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -1,4 +1,4 @@
-"""Sends and probes in memory: each ends once, as what it was, and gives back what it took."""
+"""Sends and probes in memory: each ends once with the right outcome and releases its resources."""
 
 from random import Random
 
@@ -26,7 +26,7 @@
         self.caches = CachePool(
             self.net, self.deadlines, self.room, most, terms(**more), self.noted.log, self.noted.count
         )
-        self.soon = Rules(None, terms(**more)).soon / SECOND  # what the module lets a first attempt wait
+        self.soon = Rules(None, terms(**more)).soon / SECOND  # how long Control lets a first attempt wait
         for n in range(3):
             self.caches.update(f"c{n}", ("127.0.0.1", 7000 + n), 0)
 
@@ -47,7 +47,7 @@
     def ends(self):
         return [ended.outcome for ended in self.ended]
 
-    def nothing_is_left(self):
+    def assert_all_released(self):
         assert len(self.deadlines) == 0 and len(self.caches.connections) == 0 and self.room.used_bytes == 0
         assert not self.caches.waiting and not self.caches.idle and not self.room.waiting
 
@@ -132,7 +132,7 @@
     wire.come(said)
     s.net.advance(0)
     assert s.ends() == [interface.BROKEN] and not wire.open and "caches_malformed" in s.noted.counted
-    s.nothing_is_left()
+    s.assert_all_released()
 
 
 def test_an_early_end_is_broken_and_a_slow_drip_is_late():
@@ -150,7 +150,7 @@
         s.net.advance(0.1)
         wire.come(b"x")
     assert s.ends() == [interface.BROKEN, interface.LATE]
-    s.nothing_is_left()
+    s.assert_all_released()
 
 
 def test_what_comes_after_an_answer_or_unasked_ends_the_connection():
@@ -162,7 +162,7 @@
     s.net.ways[-1].wire.come(b"more")
     s.net.advance(0)
     assert s.ends() == [interface.SATISFIED] * 2 and len(s.net.ways) == 2
-    s.nothing_is_left()
+    s.assert_all_released()
 
 
 def test_a_connection_is_used_again_one_request_at_a_time_until_idle_too_long():
@@ -180,7 +180,7 @@
     assert first.open and not second.open
     s.net.pump([0.2, 0])  # before the cache would close it
     assert not first.open
-    s.nothing_is_left()
+    s.assert_all_released()
 
 
 def test_a_connection_that_the_cache_closed_while_idle_costs_no_send():
@@ -207,14 +207,14 @@
     s.send(request=PLAIN._replace(timeout=100 * MS))
     s.net.advance(0.1)
     assert s.ends() == [interface.UNREACHED] * 3
-    s.nothing_is_left()
+    s.assert_all_released()
 
 
 def test_a_send_leaves_soon_or_never_for_what_it_names_may_drain_meanwhile():
     s = Scene(most=1, connect_timeout=900 * MS, drain_grace=500 * MS)
     s.send("c0")
     s.up()
-    s.send("c1")  # no descriptor, though its own time would last for longer
+    s.send("c1")  # no descriptor, though its timeout is longer
     s.net.pump([0.47, 0.02])
     assert s.ends() == [interface.VOID]
     s.net.ways[0].wire.come(answer(404))
@@ -223,7 +223,7 @@
     s.send("c1")
     s.net.pump([0.47, 0.02])
     assert s.ends() == [interface.VOID, interface.MISSING, interface.UNREACHED]
-    s.nothing_is_left()
+    s.assert_all_released()
 
 
 def test_a_deployment_without_any_grace_still_sends():
@@ -243,15 +243,17 @@
     s.caches.probe("c0").deferred.addCallback(s.ended.append)
     s.net.advance(0)
     assert list(s.caches.endpoints) == ["c1", "c2"] and len(s.net.ways) == 1
-    wire.come(answer(200, b"x"))  # one under way goes on
+    wire.come(answer(200, b"x"))  # an active send goes on
     s.net.advance(0)
     assert s.ends() == [interface.VOID, interface.VOID, interface.SATISFIED]
-    s.nothing_is_left()
+    s.assert_all_released()
 
 
 @pytest.mark.parametrize("unread", [answer(200, b"other"), b"noise", END])
 def test_a_connection_with_something_unread_takes_no_request(unread):
-    """The end of an answer and what follows it may come in two reads; a request between would meet that copy."""
+    """The end of a response and unexpected data may come in two reads; a request written in between would get
+    that data as its response.
+    """
     s = Scene()
     s.send()
     wire = s.up()
@@ -266,7 +268,9 @@
 
 
 def test_a_send_given_up_at_the_moment_its_time_is_over_was_late():
-    """The alarm for the same moment comes first: seen on sockets, the module learned of no send silent to the end."""
+    """An alarm for the same moment runs first. It cancelled the send, so Control never learned of sends
+    without a response.
+    """
     s, sends = Scene(), []
     s.deadlines.after(0.9, lambda: [send.cancel() for send in sends])
     sends += [s.send("c0"), s.send("c1", PLAIN._replace(timeout=901 * MS))]
@@ -278,7 +282,7 @@
 
 @pytest.mark.parametrize("how", ["late", "given up", "unreadable"])
 def test_a_send_has_not_ended_before_its_connection_is_closed(how):
-    """Else the next send of its lookup was out a turn before: two at once, seen on sockets."""
+    """Otherwise the next send of its lookup started a turn before, with two active at once."""
     s, left = Scene(), []
     send = s.send()
     send.deferred.addCallback(lambda _: left.append(len(s.caches.connections)))
@@ -292,7 +296,7 @@
     assert not wire.open
     s.net.advance(0)
     assert left == [0]
-    s.nothing_is_left()
+    s.assert_all_released()
 
 
 def test_silence_is_late_and_a_cancelled_send_ends_at_once():
@@ -310,7 +314,7 @@
     coming.cancel()
     s.net.advance(0)
     assert not silent.open and not cancelled.open and s.ends()[2:] == [interface.CANCELLED]
-    s.nothing_is_left()
+    s.assert_all_released()
 
 
 def test_short_of_descriptors_a_send_takes_an_idle_one_waits_or_was_never_sent():
@@ -328,13 +332,13 @@
         interface.SATISFIED,
         interface.VOID,
         interface.UNREACHED,
-    ]  # the third had no place, the second was not up in time
+    ]  # the third got no descriptor, the second was not connected in time
     assert s.net.ways[-1].port == 7000 and len(s.net.ways) == 3
     s.up().come(answer(404))
     s.caches.remove("c0")
     s.net.advance(0)
     assert s.ends()[3:] == [interface.MISSING]
-    s.nothing_is_left()
+    s.assert_all_released()
 
 
 def test_a_send_that_waits_takes_a_connection_of_its_cache_as_it_becomes_free():
@@ -382,7 +386,7 @@
     assert other.producerState == "paused"
     other.abortConnection()
     s.net.advance(0)
-    s.nothing_is_left()
+    s.assert_all_released()
 
 
 def test_a_probe_ends_with_its_report():
@@ -427,4 +431,4 @@
         assert len(s.caches.connections) <= 4
     s.net.pump([1, 0, 20, 0, 0])
     assert len(s.ended) == len(sent)
-    s.nothing_is_left()
+    s.assert_all_released()
--- a/tests/test_crossings_table.py
+++ b/tests/test_crossings_table.py
@@ -1,6 +1,6 @@
-"""What ends against what may come: each cell a test, or a line saying why the two cannot cross.
+"""What ends, by what may arrive at that moment: each cell names tests, or says why the two cannot meet.
 
-For the watch, the cache's byte, end and reset are the feed's.
+For the feed ("watch"), the byte, end and reset of a cache are the feed's.
 """
 
 import re
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -1,4 +1,4 @@
-"""The watch of the feed and the end of the process, crossed by bytes, ends and signals, on real sockets."""
+"""The feed connection and the shutdown, at the moment of input, ends and signals, on real sockets."""
 
 import json
 import os
@@ -6,32 +6,32 @@
 import socket
 
 import pytest
-from crossings import CALL, LOCAL, Machine, StandIn, event, sockets_for
+from crossings import CALL, LOCAL, RouterMachine, StandIn, event, sockets_for
 from fleet import answer, answers, configuration, endpoint, members, message
-from processes import FeedStandIn, Standing, serving
+from processes import BackgroundServer, FeedStandIn, start_router
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
 from standins.ports import free_port
 
-# ---- the watch
+# ---- the feed connection
 
 
-def stream_of(m):
-    return m.router.feed.stream
+def stream_of(machine):
+    return machine.router.feed.stream
 
 
 @pytest.mark.parametrize("late", ["byte", "end", "up"])
 @pytest.mark.parametrize("new", ["waits", "is up"])
 def test_what_is_late_of_an_old_watch_takes_nothing_from_the_new_one(tmp_path, late, new):
-    """Twisted tells a protocol nothing after its end: the late word is told by hand."""
-    with Machine(tmp_path) as m:
-        first = m.follow()
-        old, transport = stream_of(m), stream_of(m).transport
+    """Twisted calls a protocol no more after its end, so the test makes the late calls itself."""
+    with RouterMachine(tmp_path) as machine:
+        first = machine.start_feed()
+        old, transport = stream_of(machine), stream_of(machine).transport
         first.fin()
-        m.until(lambda: stream_of(m) is None)
+        machine.until(lambda: stream_of(machine) is None)
         if new == "is up":
-            second = m.followed(m.feed, 1, 0.5)
+            second = machine.accept_feed(machine.feed, 1, 0.5)
         if late == "byte":
             old.dataReceived(b": late\n\n")
         elif late == "end":
@@ -39,72 +39,74 @@
         else:
             old.makeConnection(transport)
         if new == "is up":
-            m.advance(0.5)
-            assert len(m.feed.peers) == 2 and stream_of(m) is not None
+            machine.advance(0.5)
+            assert len(machine.feed.peers) == 2 and stream_of(machine) is not None
             second.send(event({"n": 2, "purge": {"group": 1, "at": 1_700_000_000_000}}))
-            m.turns()
-            assert m.router.feed.last_number == 2
-            m.advance(1.9)  # silent: its own timer ends it
+            machine.turns()
+            assert machine.router.feed.last_number == 2
+            machine.advance(1.9)  # silent: closed by its own timer
             assert second.read() and second.end
-        m.followed(m.feed, 1 + (new == "is up"), 0.5)
+        machine.accept_feed(machine.feed, 1 + (new == "is up"), 0.5)
 
 
 @pytest.mark.parametrize("cut", ["fin", "reset", "silent"])
 def test_half_an_event_is_told_once_it_came_whole(tmp_path, cut):
-    with Machine(tmp_path) as m:
-        told = event(members(2, endpoint("c0", m.caches["c0"].port, status="leaving")))
-        first = m.follow()
+    with RouterMachine(tmp_path) as machine:
+        told = event(members(2, endpoint("c0", machine.caches["c0"].port, status="leaving")))
+        first = machine.start_feed()
         for byte in told[:-1]:
             first.send(bytes([byte]))
-            m.reads()
+            machine.reads()
         if cut == "silent":
-            m.advance(1.9)
+            machine.advance(1.9)
         else:
             getattr(first, cut)()
-        second = m.followed(m.feed, 1, 0.5)
-        assert m.router.feed.last_number == 1 and b"Last-Event-ID: 1\r\n" in second.got
+        second = machine.accept_feed(machine.feed, 1, 0.5)
+        assert machine.router.feed.last_number == 1 and b"Last-Event-ID: 1\r\n" in second.got
         second.send(told + told)
-        m.turns()
-        assert m.router.feed.last_number == 2 and m.counters.values["feed_events"] == 1
+        machine.turns()
+        assert machine.router.feed.last_number == 2 and machine.counters.values["feed_events"] == 1
 
 
 @pytest.mark.parametrize("dial", ["held", "up"])
 def test_a_reload_that_moves_the_feed_while_a_dial_is_out(tmp_path, dial):
-    with Machine(tmp_path) as m:
-        there, ports = StandIn(), {m.feed.port}
-        m.reactor.held_ports = ports
-        m.router.feed.start()
-        m.turns()
-        service = m.service(lambda: m.start._replace(feed=(LOCAL, there.port), known=[]))
-        if dial == "up":  # it is answered in the moment of the signal
-            m.reactor.held_ports = set()
+    with RouterMachine(tmp_path) as machine:
+        there, ports = StandIn(), {machine.feed.port}
+        machine.reactor.held_ports = ports
+        machine.router.feed.start()
+        machine.turns()
+        service = machine.service(lambda: machine.start._replace(feed=(LOCAL, there.port), known=[]))
+        if dial == "up":  # the connect is answered at the moment of the signal
+            machine.reactor.held_ports = set()
         service.reload()
-        peer = m.followed(there, 0, 0.5)
-        m.reactor.held_ports = set()
-        m.advance(1.0)
+        peer = machine.accept_feed(there, 0, 0.5)
+        machine.reactor.held_ports = set()
+        machine.advance(1.0)
         assert len(there.peers) == 1 and peer.end is None
-        m.feed.look()
-        assert all(old.end for old in m.feed.peers)  # nothing is left at the old address
+        machine.feed.look()
+        assert all(old.end for old in machine.feed.peers)  # no connection stays at the old address
         there.close()
 
 
 @pytest.mark.parametrize("refused", [0.3, 3.0])
 def test_a_feed_that_returns_is_followed_soon_also_where_idle_clients_hold_all_descriptors(tmp_path, refused):
-    with Machine(tmp_path, sockets=sockets_for(caches=4)) as m:
-        first = m.follow()
-        while len(m.clients) < m.router.front.connections.size:
-            m.client().send(message(1, b"check"))
-        m.clients[0].send(b"".join(message(n, ref=f"{n:016x}", lookup=f"{n:016x}") for n in range(2, 7)))
-        m.until(lambda: m.held()["connections_held"] == 4)
-        port = m.feed.port
-        m.feed.close()
-        m.advance(refused)
-        assert stream_of(m) is None and first.socket.fileno() < 0
-        m.feed = StandIn(port)
-        m.followed(m.feed, 0, 0.5)
+    with RouterMachine(tmp_path, sockets=sockets_for(caches=4)) as machine:
+        first = machine.start_feed()
+        while len(machine.clients) < machine.router.front.connections.size:
+            machine.client().send(message(1, b"check"))
+        machine.clients[0].send(
+            b"".join(message(n, ref=f"{n:016x}", lookup=f"{n:016x}") for n in range(2, 7))
+        )
+        machine.until(lambda: machine.gauges()["connections_held"] == 4)
+        port = machine.feed.port
+        machine.feed.close()
+        machine.advance(refused)
+        assert stream_of(machine) is None and first.socket.fileno() < 0
+        machine.feed = StandIn(port)
+        machine.accept_feed(machine.feed, 0, 0.5)
 
 
-# ---- the end of the process
+# ---- shutdown
 
 
 @pytest.mark.parametrize(
@@ -121,53 +123,53 @@
     ],
 )
 def test_what_the_end_crosses_is_answered_and_the_process_ends_once(tmp_path, case):
-    with Machine(tmp_path) as m:
-        client, call, feed = m.client(), message(8, ref=CALL, allow="3000"), m.follow()
-        service = m.service(lambda: m.start._replace(known=[]))
-        m.reactor.held_ports = (
-            {cache.port for cache in m.caches.values()} if case == "a dial is out" else set()
+    with RouterMachine(tmp_path) as machine:
+        client, call, feed = machine.client(), message(8, ref=CALL, allow="3000"), machine.start_feed()
+        service = machine.service(lambda: machine.start._replace(known=[]))
+        machine.reactor.held_ports = (
+            {cache.port for cache in machine.caches.values()} if case == "a dial is out" else set()
         )
         client.send(call[:50] if case == "half a frame" else call)
         if case == "a watch is down":
-            m.feed.close()
-        m.turns()
+            machine.feed.close()
+        machine.turns()
         service.stop()
         if case == "twice":
-            m.advance(0.1)
+            machine.advance(0.1)
             service.stop()
         elif case == "with a reload":
             service.reload()
         elif case == "a list":
-            feed.send(event(members(2, endpoint("c0", m.caches["c0"].port, status="left"))))
+            feed.send(event(members(2, endpoint("c0", machine.caches["c0"].port, status="left"))))
         elif case.startswith("a cache's"):
-            getattr(m.asking()[0], {"a cache's end": "fin", "a cache's reset": "reset"}[case])()
-        m.advance(0.3)
+            getattr(machine.unanswered()[0], {"a cache's end": "fin", "a cache's reset": "reset"}[case])()
+        machine.advance(0.3)
         if case == "half a frame":
             client.send(call[50:])
-        m.reactor.held_ports = set()
-        m.answer(b"whole")
-        m.advance(2.5)
+        machine.reactor.held_ports = set()
+        machine.answer(b"whole")
+        machine.advance(2.5)
         assert client.ended_cleanly() and client.body(8) == b"whole"
-        assert m.reactor.stops == 1 and m.counters.values["reloads"] == 0
-        assert m.held()["lookups_held"] == m.held()["clients_held"] == 0
+        assert machine.reactor.stops == 1 and machine.counters.values["reloads"] == 0
+        assert machine.gauges()["lookups_held"] == machine.gauges()["clients_held"] == 0
 
 
 @pytest.mark.parametrize("how", ["fin", "reset", "interrupt"])
 def test_a_client_that_goes_after_sigterm_does_not_hold_the_exit_up(tmp_path, how):
-    with Machine(tmp_path) as m:
-        client = m.client()
+    with RouterMachine(tmp_path) as machine:
+        client = machine.client()
         client.send(message(8, ref=CALL, allow="4000"))
-        m.until(m.asking)
-        m.service().stop()
-        m.advance(0.3)
-        m.ends(client, how)
-        m.advance(1.0)
-        if how == "interrupt":  # it is ended with the resting ones, and closes its half
+        machine.until(machine.unanswered)
+        machine.service().stop()
+        machine.advance(0.3)
+        machine.end_unread(client, how)
+        machine.advance(1.0)
+        if how == "interrupt":  # it is closed with the idle ones
             assert client.ended_cleanly()
             client.socket.close()
-            m.advance(0.1)
-        assert m.reactor.stops == 1 and m.asked(CALL) == ["c0"]
-        m.nothing_is_owed()
+            machine.advance(0.1)
+        assert machine.reactor.stops == 1 and machine.attempts(CALL) == ["c0"]
+        machine.assert_nothing_pending()
 
 
 class Large(FeedStandIn):
@@ -177,8 +179,10 @@
 
 
 def test_signals_and_bytes_that_came_in_a_pause_end_a_process_that_answers_all(tmp_path):
-    """Stopped, given its bytes and its signals, and let go: all lies there when it wakes."""
-    with Standing(Large) as cache, Standing(FeedStandIn) as feed:
+    """The process is stopped, gets its input and signals, and is continued: all of it is pending when it
+    wakes.
+    """
+    with BackgroundServer(Large) as cache, BackgroundServer(FeedStandIn) as feed:
         fleet = [endpoint("c0", cache.port), endpoint("o0", cache.port, "origin")]
         path = tmp_path / "config.json"
         path.write_text(
@@ -190,7 +194,7 @@
                 )
             )
         )
-        process, port = serving(path)
+        process, port = start_router(path)
         try:
             held = [socket.create_connection((LOCAL, port), 5) for _ in range(4)]
             rest, half, many, gone = held
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from fleet import configuration, endpoint, members, message
-from processes import Cache, FeedStandIn, Standing, ask
+from processes import BackgroundServer, Cache, FeedStandIn, ask
 
 from standins.ports import free_port
 
@@ -49,7 +49,7 @@
         and words[2:4] == ["-m", "hookrouter"]
         and not set("&|;$()`<>") & set(deploy["run"])
     )
-    with Standing(Cache) as cache, Standing(FeedStandIn) as feed:
+    with BackgroundServer(Cache) as cache, BackgroundServer(FeedStandIn) as feed:
         port, out = free_port(), tmp_path / "seen.json"
         fleet = [endpoint("c0", cache.port), endpoint("o0", cache.port, "origin")]
         path = tmp_path / "config.json"
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -1,4 +1,4 @@
-"""The control feed in memory: each event told once, in order, through any end of a connection."""
+"""The control feed in memory: each event is delivered once, in order, across connections."""
 
 import json
 
@@ -77,7 +77,7 @@
         s.net.advance(1)
         wire.come(b":\n\n")
     assert wire.open and len(s.net.ways) == 1
-    s.net.pump([1, 0.9, 0, 0.05])  # what it has counts as told 4 s after it stopped
+    s.net.pump([1, 0.9, 0, 0.05])  # its events count as delivered 4 s after it falls silent
     assert not wire.open and len(s.net.ways) == 2
 
 
@@ -90,7 +90,7 @@
     assert 20 < len(s.net.ways) < 35
     s.net.ways[-1].over or s.net.ways[-1].refuse()
     s.net.advance(1)
-    s.net.pump([0.5, 0.5, 0, 1])  # one that never comes up
+    s.net.pump([0.5, 0.5, 0, 1])  # never connected
     assert s.net.ways[-2].over and not s.net.ways[-1].over
 
 
@@ -133,7 +133,7 @@
     old = s.net.ways[0].up()
     old.come(HEAD + told(purge(4, group=1)))
     s.feed.move(("127.0.0.1", 9092))
-    assert old.open  # it is there already
+    assert old.open  # the address is the same
     s.feed.move(("127.0.0.1", 9093))
     s.net.pump([0, 0.05])
     new = s.net.ways[-1]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,7 +13,7 @@
 
 import pytest
 from fleet import configuration, endpoint, members, message
-from processes import Cache, FeedStandIn, Standing, ask
+from processes import BackgroundServer, Cache, FeedStandIn, ask
 
 from hookrouter.decisions.owners import Keeper, Terms
 from hookrouter.decisions.owners import words as w
@@ -196,12 +196,12 @@
 class Fresh(Cache):
     """Says that the origin has just given it out."""
 
-    def told(self):
+    def extra_fields(self):
         return (b"X-Since-Ms: %d" % (time.time() * 1_000),)
 
 
 def test_routers_are_members_and_lookups_go_on_through_all_of_it(tmp_path):
-    with Standing(Fresh) as cache, Standing(FeedStandIn) as feed:
+    with BackgroundServer(Fresh) as cache, BackgroundServer(FeedStandIn) as feed:
         made, ports = Rig(tmp_path, keepers=3, purges=True), {}
         try:
             for name in made.names:
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -1,4 +1,4 @@
-"""Client connections in memory: each call answered once, whatever else comes."""
+"""Client connections in memory: each call is answered once, whatever else arrives."""
 
 import pytest
 from fleet import END, Net, Noted, Wire, answers, message
@@ -13,7 +13,7 @@
     return b"".join(thrift.message(kind, name, seqid, b"\x00"))
 
 
-class Desk:
+class Handler:
     def __init__(self):
         self.calls, self.gone, self.good = [], [], True
 
@@ -39,14 +39,14 @@
 
 class Scene:
     def __init__(self, most=4, room=10_000, max_partial_bytes=100_000):
-        self.net, self.desk, self.noted, self.room = (
+        self.net, self.handler, self.noted, self.room = (
             Net(),
-            Desk(),
+            Handler(),
             Noted(),
             BodyMemory(room, lambda: self.noted.count("room_filled")),
         )
         self.front = Front(
-            self.desk,
+            self.handler,
             Deadlines(self.net),
             self.room,
             most,
@@ -66,7 +66,7 @@
     wire = s.client()
     wire.come(message(1, dup="1", replay="5c0f", have="4be0") + message(2, body=b"\x00\r\n"))
     wire.come(message(3) + message(4))
-    (first, request), (second, other) = s.desk.calls[:2]
+    (first, request), (second, other) = s.handler.calls[:2]
     assert request.trace == f"{1:016x}" and (
         request.kind,
         request.time_allowed,
@@ -91,10 +91,10 @@
         b"\x00\r\n",
     )
     s.front.satisfied(second, (b"ab", b"\x00c"), 4)
-    s.front.nacked(s.desk.calls[2][0], 2505)
+    s.front.nacked(s.handler.calls[2][0], 2505)
     s.front.unchanged(first)
-    s.front.failed(s.desk.calls[3][0])
-    for call, _ in s.desk.calls:
+    s.front.failed(s.handler.calls[3][0])
+    for call, _ in s.handler.calls:
         s.front.failed(call)  # answered already: goes nowhere
     assert answers(wire.take()) == {
         2: (thrift.REPLY, {0: {1: b"ab\x00c", 2: {}, 3: True}}),
@@ -109,7 +109,7 @@
     s = Scene()
     wire = s.client()
     wire.come(message(1, b"check"))
-    s.desk.good = False
+    s.handler.good = False
     wire.come(message(2, b"check"))
     assert [a[1][0][3] for a in answers(wire.take()).values()] == [True, False]
 
@@ -119,8 +119,8 @@
     wire = s.client()
     wire.come(message(1, body=b"x" * 100))
     wire.come(message(2, b"interrupt", interrupted=1) + message(3, b"interrupt", interrupted=9))
-    s.front.satisfied(s.desk.calls[0][0], (b"x",), 1)
-    assert s.desk.gone == [s.desk.calls[0][0]] and wire.take() == b"" and s.room.used_bytes == 0
+    s.front.satisfied(s.handler.calls[0][0], (b"x",), 1)
+    assert s.handler.gone == [s.handler.calls[0][0]] and wire.take() == b"" and s.room.used_bytes == 0
 
 
 def test_bad_calls_get_their_failure_and_the_others_go_on():
@@ -163,9 +163,9 @@
     assert answers(wire.take())[41][1][2] == thrift.PROTOCOL_ERROR
     wire.come(b"".join(thrift.message(thrift.CALL, b"execute", 42, b"\x00")))
     assert answers(wire.take())[42][1].keys() == {2}
-    assert s.desk.calls == [] and wire.open
+    assert s.handler.calls == [] and wire.open
     wire.come(message(43))
-    assert len(s.desk.calls) == 1
+    assert len(s.handler.calls) == 1
 
 
 @pytest.mark.parametrize(
@@ -190,8 +190,8 @@
     s.net.advance(0)
     assert (
         not wire.open
-        and [call[1] for call, _ in s.desk.calls] in ([1], [1, 2])
-        and s.desk.gone == [c for c, _ in s.desk.calls]
+        and [call[1] for call, _ in s.handler.calls] in ([1], [1, 2])
+        and s.handler.gone == [c for c, _ in s.handler.calls]
     )
     assert wire.take() == b"" and s.room.used_bytes == 0
 
@@ -200,7 +200,7 @@
     s = Scene()
     wire = s.client()
     wire.come(message(1) + message(2) + message(0, b"interrupt", interrupted=1))
-    assert [call[1] for call, _ in s.desk.calls] == [2] and wire.open
+    assert [call[1] for call, _ in s.handler.calls] == [2] and wire.open
 
 
 def test_an_interrupt_of_no_call_so_far_whatever_its_type_takes_none_away():
@@ -212,7 +212,7 @@
         )
     )
     wire.come(by_map + message(0, b"interrupt", interrupted=1) + message(1))
-    assert [call[1] for call, _ in s.desk.calls] == [1] and wire.open
+    assert [call[1] for call, _ in s.handler.calls] == [1] and wire.open
 
 
 def test_silent_and_half_heard_clients_are_ended_in_time_the_others_stay():
@@ -226,7 +226,7 @@
     assert silent.open and max_partial_bytes.open and drip.open
     s.net.pump([0.1, 0.1, 0])
     assert not silent.open and not max_partial_bytes.open and not drip.open and good.open
-    assert len(s.desk.calls) == 2 and len(s.desk.gone) == 1 and s.front.partial_bytes_total == 0
+    assert len(s.handler.calls) == 2 and len(s.handler.gone) == 1 and s.front.partial_bytes_total == 0
     s.net.advance(30)
     assert good.open  # its call is open
 
@@ -241,7 +241,7 @@
     assert not s.front.port.reading  # too early to tell what the last one is
     s.net.pump([0.1, 0.1, 0])
     assert not silent.open and s.front.port.reading
-    s.front.failed(s.desk.calls[1][0])
+    s.front.failed(s.handler.calls[1][0])
     s.net.advance(0.2)
     fresh = s.client()  # the idle one goes for it, though the new one is silent still
     fresh.come(message(1))
@@ -250,7 +250,7 @@
     s.client().come(message(1))
     s.net.pump([0.1] * 10)
     assert not s.front.port.reading and wires[0].open and fresh.open  # all are busy: who comes waits
-    s.front.failed(s.desk.calls[0][0])
+    s.front.failed(s.handler.calls[0][0])
     s.net.pump([0.1, 0.1, 0])
     assert s.front.port.reading and not wires[0].open
 
@@ -263,7 +263,7 @@
     s.net.advance(0)
     assert [wire.open for wire in wires] == [False, True, True] and s.front.partial_bytes_total == 2_800
     wires[1].come(message(1, body=b"x" * 2_000)[1_400:])
-    assert s.front.partial_bytes_total == 1_400 and len(s.desk.calls) == 1
+    assert s.front.partial_bytes_total == 1_400 and len(s.handler.calls) == 1
 
 
 def test_the_listener_accepts_no_more_than_there_are_slots():
@@ -288,15 +288,15 @@
     other.come(message(1))
     wire.come(b"\xff" * 50)
     s.net.advance(0)
-    assert not wire.open and other.open and s.desk.gone == [s.desk.calls[0][0]]
+    assert not wire.open and other.open and s.handler.gone == [s.handler.calls[0][0]]
     assert len(s.front.connections) == 1 and s.room.used_bytes == 0
-    s.front.satisfied(s.desk.calls[0][0], (b"x",), 1)
-    s.front.failed(s.desk.calls[1][0])
+    s.front.satisfied(s.handler.calls[0][0], (b"x",), 1)
+    s.front.failed(s.handler.calls[1][0])
     assert wire.take() == b"" and len(answers(other.take())) == 1
-    s.front.failed((s.desk.calls[0][0][0], 1))  # the slot's next owner never meets an answer for the last
+    s.front.failed((s.handler.calls[0][0][0], 1))  # the slot's next owner never meets an answer for the last
     fresh = s.client()
     fresh.come(message(1))
-    s.front.satisfied(s.desk.calls[0][0], (b"x",), 1)
+    s.front.satisfied(s.handler.calls[0][0], (b"x",), 1)
     assert fresh.take() == b""
 
 
@@ -318,14 +318,14 @@
     wire = s.client()
     wire.come(message(1) + message(2) + message(3))
     wire.producer.pauseProducing()  # the transport's buffer is long
-    s.front.satisfied(s.desk.calls[0][0], (b"x" * 500,), 500)
+    s.front.satisfied(s.handler.calls[0][0], (b"x" * 500,), 500)
     assert wire.producerState == "producing" and wire.take() == b"" and s.room.used_bytes > 500
     wire.come(message(4, b"interrupt", interrupted=2))
-    assert s.desk.gone == [s.desk.calls[1][0]]
+    assert s.handler.gone == [s.handler.calls[1][0]]
     wire.producer.pauseProducing()  # as at each write beyond it
-    s.front.satisfied(s.desk.calls[2][0], (b"x" * 1_000,), 1_000)
+    s.front.satisfied(s.handler.calls[2][0], (b"x" * 1_000,), 1_000)
     wire.come(message(5))
-    assert len(s.desk.calls) == 3 and "calls_without_room" in s.noted.counted  # its answer would wait too
+    assert len(s.handler.calls) == 3 and "calls_without_room" in s.noted.counted  # its answer would wait too
     wire.producer.resumeProducing()
     got = answers(wire.take())
     assert [got[n][1].keys() for n in (1, 3, 5)] == [{0}, {0}, {1}] and s.room.used_bytes == 0
@@ -334,7 +334,7 @@
     wire.producer.pauseProducing()
     s.net.advance(1)
     assert wire.open  # it had read all: that it waited before is forgotten
-    s.front.satisfied(s.desk.calls[3][0], (b"x" * 500,), 500)
+    s.front.satisfied(s.handler.calls[3][0], (b"x" * 500,), 500)
     s.net.pump([5, 5, 0])
     assert not wire.open and s.room.used_bytes == 0 and "clients_not_reading" in s.noted.counted
 
@@ -349,7 +349,7 @@
         again(pieces),
         wire.producer.pauseProducing(),
     )  # as each fills the buffer
-    for call, _ in s.desk.calls:
+    for call, _ in s.handler.calls:
         s.front.satisfied(call, (b"x" * 300,), 300)
         s.net.advance(9)
         wire.producer.resumeProducing()
@@ -370,11 +370,11 @@
     more.unread = message(2)
     more.come(message(1))
     s.net.advance(0)
-    assert [(call[1], request.trace) for call, request in s.desk.calls] == [
+    assert [(call[1], request.trace) for call, request in s.handler.calls] == [
         (1, f"{1:016x}"),
         (2, f"{2:016x}"),
     ]
-    assert not gone.open and back.open and s.desk.gone == [] and back.take() == b""
+    assert not gone.open and back.open and s.handler.gone == [] and back.take() == b""
 
 
 def test_a_lingering_close_shuts_its_own_side_first_and_has_a_deadline_and_a_bound():
@@ -388,7 +388,7 @@
         wire.protocol.close()
         wire.protocol.writeConnectionLost()  # all is written
     wires[0].come(message(2))  # crosses: read and dropped
-    assert shut == wires[:2] and not s.desk.calls and wires[0].open and len(s.front.connections) == 4
+    assert shut == wires[:2] and not s.handler.calls and wires[0].open and len(s.front.connections) == 4
     for wire in wires[2:]:
         wire.protocol.close()
         wire.protocol.writeConnectionLost()
@@ -441,10 +441,10 @@
     wire, late = s.client(), s.client()
     wire.come(message(1, body=b"x" * 200))
     late.come(message(1, body=b"x") + message(2))
-    assert answers(late.take())[1][1].keys() == {1} and len(s.desk.calls) == 2
-    s.front.failed(s.desk.calls[0][0])
+    assert answers(late.take())[1][1].keys() == {1} and len(s.handler.calls) == 2
+    s.front.failed(s.handler.calls[0][0])
     late.come(message(3, body=b"x"))
-    assert len(s.desk.calls) == 3
+    assert len(s.handler.calls) == 3
 
 
 def test_an_end_that_waits_for_its_client_to_read_has_a_deadline():
@@ -463,9 +463,9 @@
     wire = s.client()
     wire.come(message(1) + message(2))
     wire.producer.pauseProducing()
-    s.front.satisfied(s.desk.calls[0][0], (b"x" * 1_000,), 1_000)
+    s.front.satisfied(s.handler.calls[0][0], (b"x" * 1_000,), 1_000)
     assert wire.open
-    s.front.satisfied(s.desk.calls[1][0], (b"x" * 1_000,), 1_000)
+    s.front.satisfied(s.handler.calls[1][0], (b"x" * 1_000,), 1_000)
     s.net.advance(0)
     assert not wire.open and s.room.used_bytes == 0
 
@@ -477,6 +477,6 @@
     idle.come(message(1, b"check"))
     s.net.pump([14.9, 0.3, 0])
     assert not idle.open and idle.producer is None and busy.open  # a producer would hold the end up
-    s.front.failed(s.desk.calls[0][0])
+    s.front.failed(s.handler.calls[0][0])
     s.net.pump([14.9, 0.3, 0])
     assert not busy.open and len(s.front.connections) == 0
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,4 +1,6 @@
-"""When a request leaves for a cache, in memory: by its last moment, for a client that waits; and what came in time."""
+"""When a request is written to a cache: not after its latest start, nor for a client that is gone; and
+responses that arrived in time.
+"""
 
 import pytest
 from fleet import answer
@@ -8,7 +10,7 @@
 
 
 def test_a_repeat_leaves_by_the_moment_that_is_carried_with_it_or_never():
-    """The window of repeats was held against the decision alone; a dial may take 0.4 s more."""
+    """The deduplication window was checked at the decision only, but a connect may take 0.4 s more."""
     s = Scene(most=1)
     s.send(start_within=0.05)
     s.net.advance(0.06)
@@ -18,7 +20,7 @@
     wire = s.up()
     s.net.advance(0)
     assert wire.take() == b"" and not wire.open and s.ends() == [interface.UNREACHED] * 2
-    s.nothing_is_left()
+    s.assert_all_released()
 
 
 @pytest.mark.parametrize("on", ["a dial", "a descriptor", "an idle connection"])
@@ -38,11 +40,13 @@
         s.net.ways[-1].wire.come(answer(200, b"x"))
     s.net.advance(0)
     assert s.ends()[-1] == interface.CANCELLED and s.net.ways[-1].wire.take() == b""
-    s.nothing_is_left()
+    s.assert_all_released()
 
 
 def test_an_answer_that_lies_unread_at_its_deadline_came_in_time():
-    """After a pause of the process timers come before reads: the answer counted as late, and one more attempt began."""
+    """After a pause of the process timers run before reads: the response counted as late, and another attempt
+    started.
+    """
     s = Scene()
     s.send()
     s.up().unread = answer(200, b"body")
@@ -52,4 +56,4 @@
     s.net.ways[-1].wire.unread = answer(200, b"body")[:-1]
     s.net.pump([0.9, 0])
     assert s.ends() == [interface.SATISFIED, interface.LATE]
-    s.nothing_is_left()
+    s.assert_all_released()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -4,7 +4,7 @@
 
 import pytest
 from fleet import END, answer, answers, configuration, endpoint, members, message
-from scenes import BEGAN, FLEET, Scene, started
+from scenes import FLEET, START_TIME, Scene, read_config
 
 from hookrouter import interface
 from hookrouter.feed.events import parse_event
@@ -24,7 +24,7 @@
     cache.come(answer(200, b"\x00bytes"))
     got = answers(wire.take())
     assert got[1][1][0][3] is True and got[2][1][0][1] == b"\x00bytes"
-    assert s.adds_up()["lookups_held"] == 0
+    assert s.check_counters()["lookups_held"] == 0
 
 
 def test_a_write_goes_to_the_origin_with_key_and_body_and_304_says_unchanged(tmp_path):
@@ -52,7 +52,7 @@
     s.net.advance(2)
     ((kind, struct),) = answers(wire.take()).values()
     assert kind == thrift.REPLY and struct.keys() == {1} and int(struct[1][1].get(b"cooldown", b"0")) <= 500
-    assert s.adds_up()["connections_held"] <= 2
+    assert s.check_counters()["connections_held"] <= 2
 
 
 @pytest.mark.parametrize(
@@ -67,7 +67,7 @@
             way.over or way.up()
         s.net.advance(0.1)
     assert len(answers(wire.take())) == 5
-    held = s.adds_up()
+    held = s.check_counters()
     assert held["lookups_held"] == held["connections_held"] == 0
     assert s.counters.values["sends_cancelled"] == 0 < s.counters.values["sends_late"]
 
@@ -80,7 +80,7 @@
     wire.come(message(3, b"interrupt", interrupted=1))
     wire.abortConnection()
     s.net.pump([0, 0.5])
-    held = s.adds_up()
+    held = s.check_counters()
     assert (
         wire.take() == b"" and held["lookups_held"] == held["connections_held"] == held["clients_held"] == 0
     )
@@ -90,7 +90,7 @@
 def test_what_is_not_written_is_withdrawn_with_its_client_also_where_nothing_may_be_cancelled(tmp_path, end):
     stated = configuration(members(1, *FLEET, whole=True))
     stated["settings"]["limits"]["mayCancel"] = False
-    s = Scene(tmp_path, terms=started(tmp_path, stated).terms)
+    s = Scene(tmp_path, terms=read_config(tmp_path, stated).terms)
     wire = s.client()
     wire.come(message(1) + message(2, part="4"))
     written = s.net.ways[0].up()
@@ -100,16 +100,16 @@
     else:
         wire.abortConnection()
     s.net.advance(0)
-    assert s.net.ways[1].over and written.open  # the dial is taken back, the attempt that is out goes on
+    assert s.net.ways[1].over and written.open  # the connect is cancelled, the written attempt goes on
     written.come(answer(200, b"x"))
-    held = s.adds_up()
+    held = s.check_counters()
     assert held["lookups_held"] == held["sends_out"] == 0 and s.counters.values["sends_cancelled"] == 1
 
 
 @pytest.mark.parametrize("on", ["a first attempt", "a further attempt", "a dial"])
 @pytest.mark.parametrize("gone", ["interrupt", "end"])
 def test_no_attempt_begins_for_a_client_whose_end_lies_unread(tmp_path, on, gone):
-    """After a pause of the process timers and caches may come before that client's socket."""
+    """After a pause of the process, timers and caches may be handled before that client's socket."""
     s = Scene(tmp_path)
     wire = s.client()
     unread = message(2, b"interrupt", interrupted=1) if gone == "interrupt" else END
@@ -129,7 +129,7 @@
         way.over or way.up()
     assert not any(way.wire.take() for way in s.net.ways if way.wire is not None)
     s.net.pump([0.5, 0])
-    held = s.adds_up()
+    held = s.check_counters()
     assert (
         held["lookups_held"] == held["sends_out"] == 0
         and wire.take() == b""
@@ -140,7 +140,7 @@
 def test_a_keyed_repeat_never_leaves_once_its_group_may_have_forgotten_the_first(tmp_path):
     stated = configuration(members(1, *FLEET, whole=True))
     stated["settings"]["classes"][1]["memorySpan"] = 300.0
-    s = Scene(tmp_path, terms=started(tmp_path, stated).terms)
+    s = Scene(tmp_path, terms=read_config(tmp_path, stated).terms)
     wire = s.client()
     wire.come(message(1, service="hold", replay="5c0f"))
     s.up()
@@ -148,7 +148,7 @@
     s.net.ways[-1].wire.abortConnection()  # it may have run
     s.net.advance(0)
     assert len(s.net.ways) == 2
-    s.net.advance(0.06)  # the second dial would be up after 260 ms, 50 ms are kept for the way
+    s.net.advance(0.06)  # the second connect would finish after 260 ms; 50 ms are reserved for the way
     wire_of_repeat = s.net.ways[-1]
     assert wire_of_repeat.over and wire_of_repeat.wire is None and len(answers(wire.take())) == 1
 
@@ -158,9 +158,13 @@
     wire = s.client()
     wire.come(message(1, service="nonsense"))
     assert answers(wire.take())[1][1].keys() == {2} and "unknown object kind" in s.out.text
-    assert s.counters.values["calls_of_unknown_kind"] == 1 and s.adds_up()["lookups_held"] == 0
-    wire.come(message(2, service="hold"))  # without its key a repeat would be a second effect
-    assert answers(wire.take())[2][1].keys() == {2} and not s.net.ways and s.adds_up()["lookups_held"] == 0
+    assert s.counters.values["calls_of_unknown_kind"] == 1 and s.check_counters()["lookups_held"] == 0
+    wire.come(message(2, service="hold"))  # without its key a repeat would take effect twice
+    assert (
+        answers(wire.take())[2][1].keys() == {2}
+        and not s.net.ways
+        and s.check_counters()["lookups_held"] == 0
+    )
 
 
 def test_more_lookups_than_the_settings_let_it_hold_are_nacked_at_once(tmp_path):
@@ -168,7 +172,7 @@
     s.router.lookups.size = 1
     wire = s.client()
     wire.come(message(1) + message(2))
-    assert answers(wire.take())[2][1].keys() == {1} and s.adds_up()["lookups_held"] == 1
+    assert answers(wire.take())[2][1].keys() == {1} and s.check_counters()["lookups_held"] == 1
 
 
 @pytest.mark.parametrize("event", [interface.Lookup, interface.SendEnd, interface.Alarm])
@@ -194,7 +198,7 @@
     s.router.control.decide = decide
     wire.come(message(2))
     s.net.advance(2)
-    assert len(answers(wire.take())) == 1 and s.adds_up()["lookups_held"] == 0
+    assert len(answers(wire.take())) == 1 and s.check_counters()["lookups_held"] == 0
     assert not s.router.control.pending_lookups
 
 
@@ -211,11 +215,11 @@
     ]
     s.router.handle_event(interface.Alarm(0))
     assert list(answers(wire.take())[1][1]) == [1] and len(s.net.ways) == 1
-    assert s.counters.values["sends"] == 1 and s.adds_up()["lookups_held"] == 0
+    assert s.counters.values["sends"] == 1 and s.check_counters()["lookups_held"] == 0
 
 
 def test_purges_and_lists_reach_the_module_with_their_true_age(tmp_path):
-    made = int(BEGAN * 1000) - 400
+    made = int(START_TIME * 1000) - 400
     s = Scene(
         tmp_path,
         {"n": 2, "purge": {"key": "7f3a9c21e0b4d655", "at": made}},
@@ -223,20 +227,20 @@
     )
     wire = s.client()
     wire.come(message(1))
-    assert s.net.ways[-1].port in (7102, 7103)  # no cache is left: past them
+    assert s.net.ways[-1].port in (7102, 7103)  # no cache is left: sent to parent or origin
     assert b"X-Stale-Limit: 399\r\n" in s.up().take()
 
 
 def test_sigterm_answers_what_was_taken_and_then_ends(tmp_path):
     s = Scene(tmp_path)
-    service, stopped = s.stoppable()
+    service, stopped = s.make_service()
     wire, idle = s.client(), s.client()
     wire.come(message(1))
     cache = s.up()
     service.stop()
     s.net.advance(0.3)
     wire.come(message(2) + message(3, b"check"))
-    s.client()  # connections still come
+    s.client()  # connections are still accepted
     s.net.advance(0.5)
     assert not idle.open and wire.open and not stopped
     cache.come(answer(200, b"x"))
@@ -244,12 +248,12 @@
     s.net.pump([0.02] * 5)
     got = answers(wire.take())
     assert got[1][1][0][1] == b"x" and got[2][1][0][1] == b"y" and got[3][1][0][3] is False
-    assert stopped and s.adds_up()["clients_held"] == 0
+    assert stopped and s.check_counters()["clients_held"] == 0
 
 
 def test_at_the_end_a_client_that_reads_nothing_is_cut_off_in_time(tmp_path):
     s = Scene(tmp_path)
-    service, stopped = s.stoppable()
+    service, stopped = s.make_service()
     wire = s.client()
     wire.come(message(1))
     wire.loseConnection = lambda: None  # its buffer stays full
@@ -313,17 +317,17 @@
     s.up().come(answer(200, b"x"))
     assert answers(wire.take())[1][1][0][1] == b"x" and not s.router.open_trace_ids
     other.come(message(2, ref=f"{1:016x}"))
-    assert s.adds_up()["lookups_held"] == 1
+    assert s.check_counters()["lookups_held"] == 1
 
 
 def test_own_copies_are_given_with_their_bytes_and_as_unchanged_where_the_client_has_them(tmp_path):
     s = Scene(tmp_path)
     s.net.advance(60)
-    wire, made = s.client(), b"X-Since-Ms: %d" % ((BEGAN + 59) * 1000)
+    wire, made = s.client(), b"X-Since-Ms: %d" % ((START_TIME + 59) * 1000)
     wire.come(message(1) + message(2, part="4"))
     first, second = (way.up() for way in s.net.ways[-2:])
     first.come(answer(200, b"body", made, b"X-Rev: 4be0c192"))
-    second.come(answer(200, b"body", made) + b"noise")  # its length may be the wrong one: passed on, not kept
+    second.come(answer(200, b"body", made) + b"noise")  # its length may be wrong: passed on, not stored
     sent = s.counters.values["sends"]
     wire.take()
     wire.come(message(3) + message(4, have="4be0c192"))
@@ -335,11 +339,11 @@
         and not s.router.storable_results
     )
     wire.come(message(5, part="4"))
-    assert s.counters.values["sends"] == sent + 1 and s.adds_up()["copy_bytes_held"] == 4
+    assert s.counters.values["sends"] == sent + 1 and s.check_counters()["copy_bytes_held"] == 4
     s.router.on_purge(
-        parse_event(json.dumps({"n": 9, "purge": {"group": 17, "at": int((BEGAN + 59.5) * 1000)}}))
+        parse_event(json.dumps({"n": 9, "purge": {"group": 17, "at": int((START_TIME + 59.5) * 1000)}}))
     )
-    assert not s.router.copies and s.adds_up()["copy_bytes_held"] == 0
+    assert not s.router.copies and s.check_counters()["copy_bytes_held"] == 0
 
 
 def test_caches_that_come_and_go_leave_nothing_behind(tmp_path):
--- a/tests/test_node_floods.py
+++ b/tests/test_node_floods.py
@@ -1,16 +1,16 @@
-"""A whole router in memory under floods and on rough days: its log, its memory, its lookups."""
+"""A whole router in memory under floods and random faults: its log, its memory, its lookups."""
 
 from random import Random
 
 import pytest
 from fleet import Net, answer, answers, message
-from scenes import Out, Scene
+from scenes import LogBuffer, Scene
 
 from hookrouter.log import Log
 
 
 def test_the_log_leaves_out_what_comes_in_a_flood_and_says_how_much():
-    net, out = Net(), Out()
+    net, out = Net(), LogBuffer()
     log = Log(net.seconds, out)
     for _ in range(1000):
         log("kind", "x" * 10_000)
@@ -31,7 +31,7 @@
         s.net.advance(0)
         assert not wire.open
     s.net.advance(0.2)
-    held, values = s.adds_up(), s.counters.values
+    held, values = s.check_counters(), s.counters.values
     assert (values["calls_malformed"], values["calls_of_unknown_kind"], values["clients_malformed"]) == (
         600,
         300,
@@ -55,7 +55,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_a_rough_day_loses_no_lookup_and_leaves_nothing_behind(tmp_path, seed):
-    dice, s, sent, got, left = Random(seed), Scene(tmp_path), {}, {}, set()
+    dice, s, sent, got, withdrawn = Random(seed), Scene(tmp_path), {}, {}, set()
     wires = [s.client() for _ in range(3)]
     for step in range(1500):
         n, what = dice.randrange(3), dice.randrange(8)
@@ -92,7 +92,7 @@
         elif what == 5 and sent and dice.random() < 0.2:
             m, seqid = dice.choice(list(sent))
             wires[m].come(message(10**6 + step, b"interrupt", interrupted=seqid))
-            left.add((m, seqid))
+            withdrawn.add((m, seqid))
         else:
             s.net.advance(dice.choice((0, 0.005, 0.05)))
         # What the module believes to be out is what is out, and its counts by cache are made of just that.
@@ -113,9 +113,9 @@
     s.net.pump([0.05] * 100)
     for m, wire in enumerate(wires):
         got.update({(m, seqid): struct for seqid, (_, struct) in answers(wire.take()).items()})
-    assert set(sent) - left <= set(got) <= set(sent)
+    assert set(sent) - withdrawn <= set(got) <= set(sent)
     s.net.pump([16, 0, 0, 16, 0])
-    held = s.adds_up()
+    held = s.check_counters()
     assert (
         held["lookups_held"]
         == held["connections_held"]
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -1,4 +1,4 @@
-"""One whole router as a process on loopback, against small stand-ins."""
+"""One router as a process on loopback, against small servers."""
 
 import json
 import os
@@ -8,7 +8,7 @@
 import sys
 
 from fleet import configuration, endpoint, members, message
-from processes import Cache, FeedStandIn, Standing, ask, serving
+from processes import BackgroundServer, Cache, FeedStandIn, ask, start_router
 from scenes import FLEET
 
 from standins.ports import free_port
@@ -28,7 +28,7 @@
 
 
 def test_a_router_serves_on_loopback_ends_by_itself_and_starts_again(tmp_path):
-    with Standing(Cache) as cache, Standing(FeedStandIn) as feed:
+    with BackgroundServer(Cache) as cache, BackgroundServer(FeedStandIn) as feed:
         port = free_port()
         fleet = [endpoint("c0", cache.port), endpoint("o0", cache.port, "origin")]
         path = tmp_path / "config.json"
@@ -40,7 +40,7 @@
             )
         )
         for _ in range(2):  # the second under the same name and address
-            process, _ = serving(path)
+            process, _ = start_router(path)
             try:
                 with socket.create_connection(("127.0.0.1", port), 5) as connection:
                     connection.settimeout(10)
@@ -79,9 +79,7 @@
     )
     try:
         said = [process.stderr.readline() for _ in range(2)]
-        assert (
-            "serving: n1" in said[0] and "reloaded" in said[1]
-        )  # the one from before the handlers' service ran
+        assert "serving: n1" in said[0] and "reloaded" in said[1]  # the signal from before the service ran
         path.write_text("{")
         process.send_signal(signal.SIGHUP)
         assert any("reload refused" in line for line in iter(process.stderr.readline, ""))
--- a/tests/test_node_start.py
+++ b/tests/test_node_start.py
@@ -1,4 +1,4 @@
-"""What cannot be used at the start of a router."""
+"""Invalid settings at the start of a router."""
 
 import io
 import json
@@ -6,7 +6,7 @@
 
 import pytest
 from fleet import configuration, members
-from scenes import FLEET, started
+from scenes import FLEET, read_config
 
 from hookrouter.__main__ import main
 from hookrouter.node.start import read_start
@@ -28,14 +28,14 @@
 )
 def test_a_configuration_that_cannot_be_used_names_the_key(tmp_path, change, named):
     with pytest.raises(Malformed, match=named):
-        started(tmp_path, {**configuration(), **change})
+        read_config(tmp_path, {**configuration(), **change})
     with pytest.raises(Malformed, match="EDGE_CONFIG"):
-        started(tmp_path, "{")
+        read_config(tmp_path, "{")
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_whatever_stands_in_the_file_only_the_one_error_comes_out(seed):
-    """A reload reads it under load: anything else would go uncaught there."""
+    """A reload reads the file while serving, where any other exception would go uncaught."""
     dice = Random(seed)
     odd = (None, -1, 0, 1e300, 10**400, "", "x", "\x00", [], {}, True, [[]], {"n": "x"}, float("nan"), 2**63)
 
--- a/tests/test_purge_catch_up.py
+++ b/tests/test_purge_catch_up.py
@@ -8,9 +8,9 @@
 import time
 
 from fleet import answer, endpoint, message
-from processes import Cache, Standing, ask
+from processes import BackgroundServer, Cache, ask
 from purging import event, purges, sealed_upto
-from test_purge_follower import Following, Lone, Net, Request
+from test_purge_follower import FollowerScene, LonePublisher, Net, Request
 from test_purge_processes import Run, router_of
 
 from hookrouter.desk.publisher import FollowRequest
@@ -35,11 +35,11 @@
 # ---- a follower in memory
 
 
-class CatchingUp(Following):
+class CatchingUp(FollowerScene):
     def __init__(self, folder):
         super().__init__(folder)
         self.adopted = []
-        self.desk.adopt = self.adopted.append
+        self.handler.adopt = self.adopted.append
         self.asked = 0
 
     def snapshot(self, *rows, newest=9):
@@ -151,7 +151,7 @@
 
 
 def filled(count, recent=5):
-    publisher = Lone(Net(), recent)
+    publisher = LonePublisher(Net(), recent)
     for n in range(1, count + 1):
         publisher.tail.add(Purge(5, n, n, types.OBJECT, f"o{n}"))
     return publisher
@@ -245,7 +245,7 @@
 
 
 def test_a_router_that_starts_is_bound_by_what_the_desk_has_sealed_through_kills_and_cuts(tmp_path):
-    with Standing(Answering) as cache, Run(tmp_path) as run:
+    with BackgroundServer(Answering) as cache, Run(tmp_path) as run:
         desk, began = run.desk(), time.time()
         assert submitted(run, 0, MANY) == list(range(1, MANY + 1))
         sealed = facts(run.port)
--- a/tests/test_purge_follower.py
+++ b/tests/test_purge_follower.py
@@ -1,9 +1,9 @@
-"""Purges on the network: a follower in memory, and a stream of the desk whose follower reads slowly."""
+"""Purges on the network: a follower in memory, and a desk's stream whose follower reads slowly."""
 
 import pytest
 from fleet import Net, answer
 from purging import SECOND, event, purges, site
-from scenes import BEGAN
+from scenes import START_TIME
 from twisted.internet.defer import Deferred
 
 from hookrouter.desk.publisher import FollowRequest, Publisher
@@ -16,8 +16,8 @@
 from hookrouter.tables.deadlines import Deadlines
 
 
-class Desk:
-    """Whom a feed tells."""
+class Handler:
+    """Records the callbacks of a feed."""
 
     def __init__(self):
         self.applied, self.grants, self.snapshots = [], [], []
@@ -38,25 +38,25 @@
         return n, n
 
 
-class Following:
+class FollowerScene:
     def __init__(self, folder):
-        self.net, self.desk, self.counted, self.lines = Net(), Desk(), [], []
+        self.net, self.handler, self.counted, self.lines = Net(), Handler(), [], []
         self.feed = PurgeFeed(
             self.net,
             Deadlines(self.net),
-            self.desk,
+            self.handler,
             (("127.0.0.1", 9100),),
             site(folder)["purges"],
             "r1",
             lambda *line, **more: self.lines.append(line),
             self.counted.append,
-            wall=lambda: BEGAN + self.net.seconds(),
+            wall=lambda: START_TIME + self.net.seconds(),
             steady=lambda: int(self.net.seconds() * SECOND),
         )
         self.feed.start()
 
     def stream(self):
-        """The newest connection that asks for the feed, up, with its head answered."""
+        """The newest feed connection, established and with its response head sent."""
         for way in reversed(self.net.ways):
             if not way.over and hasattr(way.factory, "stream"):
                 line = way.up()
@@ -77,7 +77,7 @@
 
 @pytest.mark.parametrize("late", (0.6, None))
 def test_renewals_go_on_after_one_whose_answer_came_late_or_never(tmp_path, late):
-    s = Following(tmp_path)
+    s = FollowerScene(tmp_path)
     s.stream()
     line = s.renewals()
     assert line.take().startswith(b"POST /v1/renew")
@@ -90,17 +90,17 @@
 
 
 def test_a_stream_of_purges_is_answered_for_together_and_a_single_one_at_once(tmp_path):
-    s = Following(tmp_path)
+    s = FollowerScene(tmp_path)
     stream = s.stream()
     line, answered = s.renewals(), []
 
-    def look():
+    def answer_renewal():
         asked = line.take()
         if asked:
             answered.append((s.net.seconds(), b'"n":%d,' % s.feed.place.position.n in asked))
             line.come(answer(200, b'{"span":20000,"epoch":5,"at":0,"settling":0}'))
 
-    look()
+    answer_renewal()
     for _ in range(30):
         s.net.advance(0.01)
     began = s.net.seconds()
@@ -108,18 +108,18 @@
         s.send(stream, event("purges", 5, purges=purges(n)))
         for _ in range(3):
             s.net.advance(0.0104)
-            look()
+            answer_renewal()
     times = [at - began for at, _ in answered if at > began]
     assert times[0] < 0.02 and all(now for _, now in answered[1:])
     assert 9 <= len(times) <= 11  # one each 0.2 s of a lease of 2 s
     for _ in range(30):
         s.net.advance(0.01)
-        look()
+        answer_renewal()
     assert s.feed.place.position.n == 64 and answered[-1][1]
 
 
 def test_events_cut_at_every_byte_repeated_and_out_of_order_are_applied_once_in_order(tmp_path):
-    s = Following(tmp_path)
+    s = FollowerScene(tmp_path)
     line = s.stream()
     assert b"X-Position: 0.0" in line.asked and b"Bearer 0123456789abcdef" in line.asked
     data = (
@@ -129,7 +129,7 @@
     )
     for byte in b"%x\r\n%s\r\n" % (len(data), data):
         line.come(bytes((byte,)))
-    assert s.desk.applied == [1, 2, 3]
+    assert s.handler.applied == [1, 2, 3]
     s.send(line, event("purges", 5, purges=purges(5)))  # 4 is missing
     s.net.advance(0)
     assert not line.open and s.counted.count("purge_gaps") == 1
@@ -141,12 +141,12 @@
     s.net.pump([0.05] * 10)
     line = s.stream()
     s.send(line, event("purges", 6, purges=purges(4, epoch=6)))
-    assert s.desk.applied == [1, 2, 3, 4] and s.desk.snapshots == []
+    assert s.handler.applied == [1, 2, 3, 4] and s.handler.snapshots == []
     s.send(
         line,
         event("begin", 6) + event("purges", 6, purges=purges(1, 9)) + event("end", 6, n=9, of=6, count=2),
     )
-    assert s.desk.snapshots == [(2, (6, 9))]
+    assert s.handler.snapshots == [(2, (6, 9))]
     s.send(line, event("beat", 5, n=3))  # a former life
     s.net.advance(0)
     assert not line.open
@@ -164,22 +164,22 @@
     ],
 )
 def test_what_cannot_be_read_ends_that_connection_and_changes_nothing(tmp_path, data):
-    s = Following(tmp_path)
+    s = FollowerScene(tmp_path)
     line = s.stream()
     s.send(line, data)
     s.net.advance(0)
-    assert not line.open and s.desk.applied == [] and "purges_malformed" in s.counted
+    assert not line.open and s.handler.applied == [] and "purges_malformed" in s.counted
 
 
 def test_the_lease_is_renewed_by_what_was_applied_and_counted_from_when_it_was_asked(tmp_path):
-    s = Following(tmp_path)
+    s = FollowerScene(tmp_path)
     line = s.renewals()
     asked = wire.read_renew(line.take().partition(b"\r\n\r\n")[2])
     assert (asked.name, asked.n, asked.seen, asked.relay) == ("r1", 0, 0, False)
     s.net.advance(0.3)
     body = wire.write(wire.Granted(20_000, 5, 77, 40))
     line.come(answer(200, body))
-    assert s.desk.grants == [(0, int(BEGAN * SECOND), 20_000, 77)]
+    assert s.handler.grants == [(0, int(START_TIME * SECOND), 20_000, 77)]
     feed = s.stream()
     s.send(feed, event("purges", 5, purges=purges(1, 2)))
     s.net.advance(0.01)
@@ -188,7 +188,7 @@
     s.net.advance(0.1)
     assert line.take() == b""  # one at a time
     line.come(answer(200, wire.write(wire.Granted(20_000, 4, 77, 40))))  # of a former life
-    assert len(s.desk.grants) == 1 and "renewals_refused" in s.counted
+    assert len(s.handler.grants) == 1 and "renewals_refused" in s.counted
     s.net.advance(0.5)
     assert wire.read_renew(line.take().partition(b"\r\n\r\n")[2]).n == 3
     line.come(b"HTTP/1.1 garbage\r\n\r\n")
@@ -228,7 +228,7 @@
         return Deferred()
 
 
-class Lone(Publisher):
+class LonePublisher(Publisher):
     def __init__(self, net, recent):
         super().__init__(net, lambda *args, **more: None)
         self.tail, self.followers = Tail(1 << 60, 5, recent=recent, names=recent), Followers(SECOND, 0, 0, 0)
@@ -240,7 +240,7 @@
 
 
 def test_no_lease_is_given_before_its_name_would_outlive_a_crash():
-    publisher = Lone(Net(), 10)
+    publisher = LonePublisher(Net(), 10)
     asked = wire.Renew("r1", 1, 0, 0, 0, 0, 0, 0)
     assert publisher.renew(asked).span == 0 and publisher.followers.rows == {} and publisher.asked == ["r1"]
     publisher.names.add("r1")
@@ -249,14 +249,14 @@
 
 
 def test_a_follower_that_knows_a_later_epoch_than_its_relay_comes_again(tmp_path):
-    publisher, request = Lone(Net(), 10), Request()
+    publisher, request = LonePublisher(Net(), 10), Request()
     assert publisher.follow(request, FollowRequest(Position(6, 3), 6, None)) is False
     assert publisher.streams == {} and request.written == []
 
 
 def test_a_follower_that_does_not_read_holds_no_more_than_it_was_given_and_is_cut(tmp_path):
     net = Net()
-    publisher, request = Lone(net, 2_000), Request()
+    publisher, request = LonePublisher(net, 2_000), Request()
     stream = Stream(publisher, request, 0, None)
     publisher.streams[stream] = True
     stream.pauseProducing()
--- a/tests/test_purge_network.py
+++ b/tests/test_purge_network.py
@@ -4,7 +4,7 @@
 
 from fleet import Net, Wire, answer, answers, configuration, endpoint, members, message
 from purging import NAME, SECOND, site
-from scenes import BEGAN, Out
+from scenes import START_TIME, LogBuffer
 
 from hookrouter import interface
 from hookrouter.feed.events import parse_event
@@ -25,7 +25,7 @@
 
 class Scene:
     def __init__(self, folder, more="", skew="1 ms"):
-        self.net, self.out = Net(), Out()
+        self.net, self.out = Net(), LogBuffer()
         path = folder / "config.json"
         path.write_text(json.dumps(configuration(members(1, *FLEET, whole=True))))
         start = read_start({"EDGE_CONFIG": str(path)}, sections=site(folder, skew=skew, more=more))
@@ -39,28 +39,28 @@
             lambda: int(self.net.seconds() * SECOND),
         )
         self.net.advance(1)
-        self.purging, self.clients, self.n = self.router.purges, [], 0
+        self.purging, self.clients, self.newest_number = self.router.purges, [], 0
 
     def wall(self):
-        return BEGAN + self.net.seconds()
+        return START_TIME + self.net.seconds()
 
     def lease(self, span=2 * SECOND):
         now = int(self.net.seconds() * SECOND)
         self.purging.on_grant(now, self.router.now(), span, self.router.now())
 
     def purge(self, kind=types.OBJECT, what=NAME, ago=0.0):
-        self.n += 1
-        self.purging.on_purges([Purge(1, self.n, int((self.wall() - ago) * SECOND), kind, what)])
+        self.newest_number += 1
+        self.purging.on_purges([Purge(1, self.newest_number, int((self.wall() - ago) * SECOND), kind, what)])
 
     def ask(self, **fields):
-        """On a connection of its own: a silent one is ended."""
+        """Makes a call on a new connection, because a silent one is closed."""
         self.clients.append(Wire(self.net).join(self.router.front.buildProtocol(None)))
         number = len(self.clients)
         self.clients[-1].come(message(1, ref=f"{number:016x}", **{"allow": "3000", **fields}))
         return number
 
     def cache(self):
-        """The connection of the send that is out, and the age it asks for in milliseconds."""
+        """The connection of the active send, and its maximum age in milliseconds."""
         lines = [
             way.wire or (way.up() if not way.over else None) for way in self.net.ways if way.port != 9100
         ]
@@ -93,9 +93,9 @@
     assert s.ends() == {first: "satisfied"}
     second = s.ask(part="4")
     line, age = s.cache()
-    assert 390 <= age <= 400  # asked for at the send
+    assert 390 <= age <= 400  # requested with the send
     s.net.advance(0.2)
-    s.comes(line, 1.0)  # a cache that ignores the bound, or a fill from another depot's
+    s.comes(line, 1.0)  # a cache that ignores the bound, or a fill from another depot
     assert s.counters.values["copies_refused"] == 1 and second not in s.ends()
     line, age = s.cache()  # tried elsewhere
     s.comes(line, 0.1)
@@ -139,7 +139,7 @@
 def test_a_first_send_leaves_unknown_tags_to_the_answer_and_a_refused_one_asks_for_less_age(tmp_path):
     s = Scene(tmp_path)
     s.lease(60 * SECOND)
-    for n in range(2 * TRIAL_COST):  # answers that name their tags
+    for n in range(2 * TRIAL_COST):  # responses that name their tags
         s.ask(part=str(n))
         s.comes(s.cache()[0], 0.0, b"X-Tags: red")
     s.purge(types.TAG, "blue")
@@ -160,18 +160,18 @@
         s.comes(line, 0.1, tags)
         assert s.ends()[purged] == "satisfied"
     s.ask(lookup="5" * 16)
-    assert s.cache()[1] <= 1_100  # two were refused: that is earned anew
+    assert s.cache()[1] <= 1_100  # two were rejected: trust in first sends has to build up again
 
 
 def test_without_a_lease_only_young_copies_answer_and_a_pause_is_noticed_first(tmp_path):
     s = Scene(tmp_path)
     s.ask()
-    assert s.cache()[1] == 1  # joining: what the origin gives out anew
+    assert s.cache()[1] == 1  # joining: only what the origin issues from now on
     s.lease()
     early = s.ask(part="5")
     line, age = s.cache()
     assert age > 2_000
-    s.net.rightNow += 2.5  # the process was stopped; its answer lay unread
+    s.net.rightNow += 2.5  # the process was stopped, with the response unread
     s.comes(line, 5.0)
     assert early not in s.ends() and s.counters.values["copies_refused"] == 1
     assert "without a lease, fenced: was=current now=fenced" in s.out.text
@@ -183,7 +183,7 @@
     s = Scene(tmp_path)
     s.lease(60 * SECOND)
     ticks = iter(range(10**6))
-    s.purging.stopwatch = lambda: next(ticks) / 1_000  # a millisecond a purge
+    s.purging.stopwatch = lambda: next(ticks) / 1_000  # a millisecond per purge
     s.purging.on_snapshot(
         [Purge(1, n, int(s.wall() * SECOND), types.OBJECT, f"o{n}") for n in range(1, 22)], (1, 21)
     )
--- a/tests/test_purge_processes.py
+++ b/tests/test_purge_processes.py
@@ -10,7 +10,7 @@
 
 import pytest
 from fleet import configuration, endpoint, members, message
-from processes import Cache, Standing, ask
+from processes import BackgroundServer, Cache, ask
 from purging import NAME, site
 
 from hookrouter.desk.clock import Clock
@@ -81,7 +81,7 @@
 
 
 def test_desk_relay_and_routers_with_kills_on_every_side(tmp_path):
-    with Standing(Cache) as cache, Run(tmp_path) as run:
+    with BackgroundServer(Cache) as cache, Run(tmp_path) as run:
         desk = run.desk()
         relay_port = free_port()
         relay_site = run.site(
@@ -280,7 +280,7 @@
         desk.wait()
         copy = (tmp_path / "purges.db").read_bytes()
         desk = run.desk()
-        with Standing(Cache) as cache:
+        with BackgroundServer(Cache) as cache:
             router_of(run, [endpoint("o0", cache.port, "origin")], "n1", str(tmp_path / "desk.ini"))
             run.members(1)
             lost = json.loads(run.call("submit", "--tag", "b", "--wait", "--json"))["numbers"]
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -1,4 +1,4 @@
-"""A start in a narrow share of a core: nine in ten restarted routers have to be ready within 10 s."""
+"""A start with a small share of a core: nine in ten restarted routers must be ready within 10 s."""
 
 import json
 import os
@@ -6,12 +6,12 @@
 import socket
 
 from fleet import configuration, endpoint, members, message
-from processes import FeedStandIn, Standing, ask, serving
+from processes import BackgroundServer, FeedStandIn, ask, start_router
 
 from standins.ports import free_port
 
 READY = 10.0  # seconds that the operators allow
-SHARE = 1 / 5  # of a core, the narrowest that the trial has been seen with
+SHARE = 1 / 5  # of a core, the smallest share seen in trials
 TICKS = os.sysconf("SC_CLK_TCK")
 
 
@@ -24,7 +24,7 @@
 def test_a_start_with_400_caches_and_20000_purges_is_ready_in_time_at_a_fifth_of_a_core(tmp_path):
     caches = [endpoint(f"c{n}", 7100 + n) for n in range(400)]
     purges = [{"n": n, "purge": {"key": f"{n:016x}", "at": 1764576000123}} for n in range(2, 20_002)]
-    with Standing(FeedStandIn) as feed:
+    with BackgroundServer(FeedStandIn) as feed:
         path = tmp_path / "config.json"
         path.write_text(
             json.dumps(
@@ -36,7 +36,7 @@
                 )
             )
         )
-        process, port = serving(path)
+        process, port = start_router(path)
         try:
             with socket.create_connection(("127.0.0.1", port), 5) as client:
                 client.settimeout(10)
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -13,7 +13,7 @@
 from fleet import FLEET, configuration, endpoint, members, message, router
 from hypothesis import given, settings
 from hypothesis import strategies as s
-from processes import Cache, FeedStandIn, Standing, ask
+from processes import BackgroundServer, Cache, FeedStandIn, ask
 from sharing_mistakes import MISTAKES
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
@@ -258,12 +258,12 @@
 
 
 class Fresh(Cache):
-    def told(self):
+    def extra_fields(self):
         return (b"X-Since-Ms: %d" % (time.time() * 1_000),)
 
 
 def test_routers_tell_each_other_their_loads_and_one_cut_off_forgets_and_one_that_starts_pulls(tmp_path):
-    with Standing(Fresh) as cache, Standing(FeedStandIn) as feed:
+    with BackgroundServer(Fresh) as cache, BackgroundServer(FeedStandIn) as feed:
         rig, ports = (
             Rig(tmp_path, keepers=3, zones=1, sections="[sharing]\nsilent after = 3 s\npull within = 5 s\n"),
             {},
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -1,5 +1,5 @@
-"""What the operators' pages ask of a router line by line, where no other test shows it: its end, what lies unread
-after a pause, answers that are spoilt, and lists that do not arrive.
+"""Requirements of the operators' pages that no other test covers: shutdown, input left unread by a pause,
+invalid responses, and cache lists that do not arrive.
 """
 
 import json
@@ -14,18 +14,18 @@
 import test_feed
 import test_front
 from fleet import answer, answers, configuration, endpoint, members, message
-from processes import Cache, FeedStandIn, Standing, serving
+from processes import BackgroundServer, Cache, FeedStandIn, start_router
 
 from hookrouter import interface
 from hookrouter.feed import follower
 from standins.ports import free_port
 
-# ---- the end, in made-up time: `at` is after SIGTERM, and the pages have lookups come up to 0.6 s after it
+# ---- shutdown in simulated time: `at` is seconds after SIGTERM; lookups may come up to 0.6 s after it
 
 
-def ending(tmp_path):
+def stopping_scene(tmp_path):
     s = scenes.Scene(tmp_path)
-    service, stopped = s.stoppable()
+    service, stopped = s.make_service()
     busy, idle = s.client(), s.client()
     busy.come(message(1))
     idle.come(message(1, b"check"))
@@ -36,34 +36,34 @@
 @pytest.mark.parametrize("at", [0.0, 0.1, 0.2, 0.4, 0.6, 0.69])
 @pytest.mark.parametrize("on", ["busy", "idle", "new", "two halves"])
 def test_what_comes_after_sigterm_is_taken_and_answered_before_the_exit(tmp_path, at, on):
-    s, service, stopped, busy, idle = ending(tmp_path)
+    s, service, stopped, busy, idle = stopping_scene(tmp_path)
     service.stop()
     s.net.advance(at)
     wire = {"busy": busy, "idle": idle}.get(on) or s.client()
     whole = message(2, allow="9000")
     if on == "two halves":
         wire.come(whole[:30])
-        s.net.pump([0.1] * 7)  # the listener is closed meanwhile, and idle connections are ended
+        s.net.pump([0.1] * 7)  # the listener and idle connections are closed meanwhile
         wire.come(whole[30:])
     else:
         wire.come(whole)
     while not stopped and s.net.seconds() < 9:
         for way in s.net.ways:
-            way.over or way.up()  # caches are silent: the answer comes at the end of its time
+            way.over or way.up()  # caches are silent: the answer comes at the deadline
         s.net.advance(0.05)
     got = answers(wire.take())
-    assert got[2][1].keys() == {1} and stopped and stopped[0] < 3.75 and s.adds_up()["lookups_held"] == 0
+    assert (
+        got[2][1].keys() == {1} and stopped and stopped[0] < 3.75 and s.check_counters()["lookups_held"] == 0
+    )
 
 
 def test_a_lookup_that_comes_after_the_last_ones_is_answered_before_sigkill(tmp_path):
-    s, service, stopped, busy, _ = ending(tmp_path)
+    s, service, stopped, busy, _ = stopping_scene(tmp_path)
     s.up()
     service.stop()
     s.net.pump([0.1] * 12)
     busy.come(message(2, allow="9000"))
-    while (
-        s.net.seconds() < 3.7
-    ):  # by the sooner reading of the page: 3 s where the longest deadline is longer
+    while s.net.seconds() < 3.7:  # SIGKILL at the earliest: 3 s where the longest deadline is longer
         for way in s.net.ways:
             way.over or way.up()
         s.net.advance(0.05)
@@ -74,8 +74,10 @@
 def test_what_is_in_work_at_sigterm_is_answered_before_sigkill_whatever_time_its_client_gives_it(
     tmp_path, effect
 ):
-    """SIGKILL comes 3.7 s after SIGTERM where the longest deadline is longer: seen on short days, where two of six were killed."""
-    s, service, stopped, busy, _ = ending(tmp_path)
+    """SIGKILL comes 3.7 s after SIGTERM if the longest deadline is longer; two of six routers were killed
+    with lookups unanswered.
+    """
+    s, service, stopped, busy, _ = stopping_scene(tmp_path)
     busy.come(message(2, service=effect, replay="5c0f", allow="9000", ref="a" * 16))
     service.stop()
     while s.net.seconds() < 3.7 and not stopped:
@@ -83,11 +85,11 @@
             way.over or way.up()
         s.net.advance(0.02)
     assert answers(busy.take()).keys() == {1, 2} and stopped and 3.5 < stopped[0] < 3.7
-    assert s.adds_up()["lookups_held"] == 0 and not s.router.control.pending_lookups
+    assert s.check_counters()["lookups_held"] == 0 and not s.router.control.pending_lookups
 
 
 def test_half_a_lookup_that_never_becomes_whole_does_not_hold_the_exit_up(tmp_path):
-    s, service, stopped, busy, idle = ending(tmp_path)
+    s, service, stopped, busy, idle = stopping_scene(tmp_path)
     s.up().come(answer(200, b"x"))
     idle.come(message(2)[:30])
     service.stop()
@@ -98,12 +100,12 @@
 
 
 def test_a_second_sigterm_and_a_sighup_at_the_end_change_nothing(tmp_path):
-    s, service, stopped, busy, _ = ending(tmp_path)
+    s, service, stopped, busy, _ = stopping_scene(tmp_path)
     service.stop()
     held = len(s.router.deadlines)
     s.net.advance(0.3)
     service.stop()
-    service.reload()  # there is nothing to read: it would fail
+    service.reload()  # no read_start is given: a reload would fail
     assert len(s.router.deadlines) == held and s.counters.values["reloads_refused"] == 0
     s.net.advance(0.5)
     s.up().come(answer(200, b"x"))
@@ -112,8 +114,10 @@
 
 
 def test_at_the_end_the_listener_stays_open_until_there_is_room_for_who_waits_in_its_queue(tmp_path):
-    """Closed with a full table, it reset them: to them they were connected, and had sent their calls."""
-    s, service, stopped, busy, idle = ending(tmp_path)
+    """Closed with all slots taken, the listener reset queued connections, which to their clients were
+    established and carried calls.
+    """
+    s, service, stopped, busy, idle = stopping_scene(tmp_path)
     closed = []
     service.port.stopListening = lambda: closed.append(s.net.seconds())
     idle.come(message(2, ref="a" * 16))
@@ -125,10 +129,10 @@
     s.net.pump([0.02] * 3)
     assert len(closed) == 1 and not stopped
     s.net.pump([0.1] * 40)
-    assert len(closed) == 1 and stopped and s.adds_up()["clients_held"] == 0
+    assert len(closed) == 1 and stopped and s.check_counters()["clients_held"] == 0
 
 
-# ---- a pause of the process: its deadlines come before its reads, and what lies unread is owed an answer
+# ---- pause of the process: timers run before reads, and unread calls must be answered
 
 
 @pytest.mark.parametrize(
@@ -144,15 +148,15 @@
     s.net.advance(0.05)
     wire.unread = whole
     if short:
-        s.net.rightNow += 0.3  # the clock goes on, and no deadline is called
+        s.net.rightNow += 0.3  # the clock advances, but no timer runs
         s.client()
     elif case == "the end":
         s.front.close_idle()
     else:
         s.net.advance(20)
     s.net.pump([0, 0])
-    assert wire.open and [call[1] for call, _ in s.desk.calls] == [2]
-    s.front.failed(s.desk.calls[0][0])
+    assert wire.open and [call[1] for call, _ in s.handler.calls] == [2]
+    s.front.failed(s.handler.calls[0][0])
     assert answers(wire.take()).keys() == {2}
 
 
@@ -163,19 +167,19 @@
         wire.come(b"".join(message(n, lookup=f"{n:016x}", ref=f"{n:016x}") for n in range(1, 33)))
         wire.abortConnection()
         s.net.pump([0, 0.01])
-        held = s.adds_up()
+        held = s.check_counters()
         assert not held["lookups_held"] and not held["clients_held"] and not s.router.open_trace_ids
     s.net.pump([0.5, 0])
-    assert s.adds_up()["connections_held"] == 0 and s.counters.values["lookups_given_up.clip"] > 0
+    assert s.check_counters()["connections_held"] == 0 and s.counters.values["lookups_given_up.clip"] > 0
 
 
-# ---- spoilt answers
+# ---- invalid responses
 
 COPY = b"X-Rev: 4be0", b"X-Since-Ms: 1764576000123"
 OTHER = test_caches.PLAIN._replace(object="0d55")
 
 
-def forever(head, piece):
+def endless(head, piece):
     yield head
     while True:
         yield piece
@@ -184,15 +188,15 @@
 @pytest.mark.parametrize(
     "pieces, end",
     [
-        (forever(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", b"1\r\nx\r\n"), interface.LATE),
+        (endless(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", b"1\r\nx\r\n"), interface.LATE),
         (
-            forever(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", b"X-More: x\r\n"),
+            endless(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", b"X-More: x\r\n"),
             interface.LATE,
         ),
-        (forever(b"", b"HTTP/1.1 100 Go on\r\n\r\n"), interface.LATE),
-        (forever(b"HTTP/1.1 200 OK\r\n", b"X-Pad: p\r\n" * 40), interface.BROKEN),
+        (endless(b"", b"HTTP/1.1 100 Go on\r\n\r\n"), interface.LATE),
+        (endless(b"HTTP/1.1 200 OK\r\n", b"X-Pad: p\r\n" * 40), interface.BROKEN),
         (
-            forever(
+            endless(
                 b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", b"1000\r\n" + b"x" * 4096 + b"\r\n"
             ),
             interface.BROKEN,
@@ -208,7 +212,7 @@
         s.net.advance(0.01)
     s.net.advance(0)
     assert s.ends() == [end] and s.net.seconds() < 1
-    s.nothing_is_left()
+    s.assert_all_released()
 
 
 @pytest.mark.parametrize("fields", [(), (b"X-Rev: 0000",), (b"X-Rev: ",)])
@@ -218,7 +222,7 @@
     s.up().come(answer(304, b"", *fields))
     s.net.advance(0)
     assert s.ends() == [interface.BROKEN]
-    s.nothing_is_left()
+    s.assert_all_released()
 
 
 def test_the_double_of_an_answer_that_comes_late_is_not_the_next_ones():
@@ -227,7 +231,7 @@
     wire = s.up()
     wire.come(answer(200, b"body", *COPY))
     s.send(request=OTHER)
-    wire.come(answer(200, b"body", *COPY))  # ends in the other's place
+    wire.come(answer(200, b"body", *COPY))  # arrives as the response of the next request
     s.net.advance(0)
     assert s.ends() == [interface.SATISFIED, interface.BROKEN] and not wire.open
     for n, (request, tag) in enumerate(
@@ -235,13 +239,13 @@
     ):
         s.send(request=request)
         wire = wire if n else s.up()
-        wire.come(answer(200, b"body", tag, COPY[1]))  # one object's copy twice is no double
+        wire.come(answer(200, b"body", tag, COPY[1]))  # the same object's copy twice is no duplicate
     assert s.ends()[2:] == [interface.SATISFIED] * 3
 
 
 @pytest.mark.parametrize("said", [answer(404), answer(503, b"", b"X-Declined: 1"), answer(200, b"done")])
 def test_what_may_not_be_repeated_takes_no_connection_on_which_a_double_may_still_come(said):
-    """A late 404 or refusal would say that it never ran."""
+    """A late duplicate of a 404 or a rejection would say that it never ran."""
     s, not_repeatable = test_caches.Scene(), OTHER._replace(not_repeatable=True)
     s.send()
     first = s.up()
@@ -259,7 +263,7 @@
     assert len(s.net.ways) == 2  # rested: taken again
 
 
-# ---- a list counts as told 7 s after the feed has it
+# ---- a cache list counts as delivered 7 s after the feed has it
 
 
 @pytest.mark.parametrize(
@@ -268,7 +272,7 @@
 def test_a_watch_that_falls_silent_is_followed_anew_before_its_news_count_as_told(ways):
     s = test_feed.Scene()
     s.net.ways[0].up().come(test_feed.HEAD + b":\n\n")
-    began = s.net.seconds()  # the feed has news now, and this stream will never carry them
+    began = s.net.seconds()  # the feed has an event now that this stream never delivers
     for way in (*ways, "well"):
         count = len(s.net.ways)
         while len(s.net.ways) == count:
@@ -299,18 +303,18 @@
     return connection
 
 
-def heard(connection, seqid):
+def read_reply(connection, seqid):
     got = b""
-    while seqid not in (client_revision := answers(got)):
+    while seqid not in (replies := answers(got)):
         piece = connection.recv(65536)
         assert piece, f"ended without an answer to {seqid}"
         got += piece
-    return client_revision[seqid][1]
+    return replies[seqid][1]
 
 
 @pytest.mark.parametrize("paused", [False, True])
 def test_a_process_told_to_end_answers_all_that_came_in_time_also_when_it_was_paused(tmp_path, paused):
-    with Standing(Cache) as cache, Standing(FeedStandIn) as feed:
+    with BackgroundServer(Cache) as cache, BackgroundServer(FeedStandIn) as feed:
         fleet = [endpoint("c0", cache.port), endpoint("o0", cache.port, "origin")]
         path = tmp_path / "config.json"
         path.write_text(
@@ -322,7 +326,7 @@
                 )
             )
         )
-        process, port = serving(path)
+        process, port = start_router(path)
         try:
             idle, half, working = (
                 call(port, message(1, b"check")),
@@ -330,7 +334,7 @@
                 call(port, message(1)),
             )
             for connection in (idle, half, working):
-                heard(connection, 1)
+                read_reply(connection, 1)
             working.sendall(message(2, part="9", allow="1200"))
             half.sendall(message(2, ref="b" * 16)[:40])
             process.send_signal(signal.SIGTERM)
@@ -350,8 +354,8 @@
                 time.sleep(0.5)
                 process.send_signal(signal.SIGCONT)
             for connection, seqid in ((idle, 2), (half, 2), (new, 1)):
-                assert heard(connection, seqid)[0][3] is True
-            assert heard(working, 2).keys() == {1}  # its cache is silent: nacked in its time
+                assert read_reply(connection, seqid)[0][3] is True
+            assert read_reply(working, 2).keys() == {1}  # its cache is silent: nacked at its deadline
             said = process.communicate(timeout=10)[1]
             assert process.returncode == 0 and time.monotonic() - began < 3.7
             assert "lookups_held 0" in said and "Traceback" not in said and "reloads 0" in said
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -129,7 +129,7 @@
     s.router.trace.store.file = open("/dev/full", "wb")  # refuses when flushed, and again when closed
     busy(s, 20)
     assert s.counters.values["traces_failed"] == 1 and "trace cannot be written" in s.out.text
-    assert s.adds_up()["lookups_held"] == 0
+    assert s.check_counters()["lookups_held"] == 0
     s.router.trace.close()
 
 
