--- a/hookrouter/caches/pool.py
+++ b/hookrouter/caches/pool.py
@@ -211,9 +211,8 @@
         send.result = requests.read_result(
             head, tuple(connection.pieces), connection.length, self.report_fields
         )
-        if (
-            connection.parser.buffer
-        ):  # passed on as its length says, but not stored, as the length may be wrong
+        if connection.parser.buffer:
+            # Passed on as its length says, but not stored, as the length may be wrong.
             send.result = send.result._replace(storable_issued_at=None)
         connection.send = send.connection = None
         connection.discard_response()
@@ -237,9 +236,8 @@
                 self.waiting.remove(send)
                 self._write_request(send, connection)
                 return
-        if (
-            not is_current or self.waiting or self.idle_timeout <= 0
-        ):  # the cache has moved, or the descriptor is needed
+        if not is_current or self.waiting or self.idle_timeout <= 0:
+            # The cache has moved, or the descriptor is needed.
             connection.close()
             return
         connection.idle_since = self.deadlines.clock.seconds()
--- a/hookrouter/feed/follower.py
+++ b/hookrouter/feed/follower.py
@@ -5,14 +5,12 @@
 from ..parsers import http1, sse
 from . import events
 
-SILENCE_TIMEOUT = (
-    1.8  # seconds: a comment comes every second; an event counts as delivered 4 s after the feed falls silent
-)
+# Seconds: a comment comes every second; an event counts as delivered 4 s after the feed falls silent.
+SILENCE_TIMEOUT = 1.8
 CONNECT_TIMEOUT = 1.0  # seconds: more than any connection within a site takes
 MIN_PAUSE = 0.05  # seconds before the next connection, doubled each time the last one brought nothing
-MAX_PAUSE = (
-    0.4  # seconds: an event counts as delivered 2 s after a disconnect; refused connections cost little
-)
+# Seconds: an event counts as delivered 2 s after a disconnect; refused connections cost little.
+MAX_PAUSE = 0.4
 MALFORMED_EVENT_ADVICE = "look at the feed's version; the event is lost, the place is kept"
 MAX_STREAM_BYTES = 2**60  # no limit: one connection carries events for as long as it lasts
 
--- a/hookrouter/fleet/member/warming.py
+++ b/hookrouter/fleet/member/warming.py
@@ -39,7 +39,7 @@
 
 
 class Warmer:
-    """heed: what the router notes; send(cache, errand fields) -> Deferred of how it ended."""
+    """observer: what the router notes; send(cache, request fields) -> Deferred of how it ended."""
 
     def __init__(self, reactor, log, section, member, router, observer):
         self.reactor, self.log, self.section, self.member = reactor, log, section, member
--- a/hookrouter/front/connection.py
+++ b/hookrouter/front/connection.py
@@ -36,9 +36,8 @@
         self.unread_bytes = 0  # bytes of these, or of the ones passed to the transport last
         self.ending = False  # no further input is accepted
         self.received = False  # whether the last read returned data
-        self.pending_messages = (
-            None  # parsed messages not processed yet; None when no read is being processed
-        )
+        # Parsed messages not processed yet; None when no read is being processed.
+        self.pending_messages = None
         self.cancelled = set()  # sequence numbers of pending calls that were cancelled
 
     def connectionMade(self):
--- a/hookrouter/front/connections.py
+++ b/hookrouter/front/connections.py
@@ -18,9 +18,8 @@
 MIN_SILENCE = 0.1  # seconds of silence that are always allowed: by then data sent with the connection is here
 SHED_SHARE = 1 / 16  # share of the descriptors that is freed at a time when they run short
 SWEEP_INTERVAL = 0.1  # seconds between sweeps of silent and idle connections
-LINGER_TIMEOUT = (
-    0.5  # seconds for the client to close after us: some round trips; its input is discarded meanwhile
-)
+# Seconds for the client to close after us: some round trips; its input is discarded meanwhile.
+LINGER_TIMEOUT = 0.5
 MAX_LINGERING_SHARE = 1 / 4  # share of the descriptors; beyond it the oldest are closed at once
 
 
--- a/hookrouter/node/cache_loads.py
+++ b/hookrouter/node/cache_loads.py
@@ -4,9 +4,8 @@
 
 from .. import interface
 
-ACTIVE_SENDS_TIME_CONSTANT = (
-    10_000  # 1 s: averages the active sends, as a single sample finds none most of the time
-)
+# 1 s: averages the active sends, as a single sample finds none most of the time.
+ACTIVE_SENDS_TIME_CONSTANT = 10_000
 RATE_TIME_CONSTANT = 20_000  # 2 s: averages the rate at a few sends a second
 ANSWER_WEIGHT = 1 / 16  # weight of the newest answer in the averages of duration and refusals
 IDLE_LOAD = 0.005  # a load below this counts as none, and its row is removed if the cache is gone
@@ -17,11 +16,8 @@
 
     def __init__(self):
         self.active_sends, self.started = {}, {}  # id -> active sends; sends started since the last sample
-        self.loads, self.sampled_at, self.listed_caches = (
-            {},
-            None,
-            set(),
-        )  # id -> [active sends, sends per second], averaged
+        # loads: id -> [active sends, sends per second], averaged.
+        self.loads, self.sampled_at, self.listed_caches = ({}, None, set())
         self.answer_stats = {}  # id -> [answer duration, share refused], averaged
 
     def send_started(self, cache, source):
--- a/hookrouter/node/effects.py
+++ b/hookrouter/node/effects.py
@@ -56,9 +56,8 @@
         router.cache_loads.send_started(effect.cache, source)
     if router.warming_observer is not None:
         router.warming_observer.on_send(effect.cache, request.size)
-    lookup.active_sends[send_number] = (
-        None  # registered first: the client may be found gone while the send starts
-    )
+    # Registered first: the client may be found gone while the send starts.
+    lookup.active_sends[send_number] = None
     active_send = lookup.active_sends[send_number] = router.caches.send(
         effect.cache,
         cache_request,
--- a/hookrouter/node/purging.py
+++ b/hookrouter/node/purging.py
@@ -14,9 +14,8 @@
 from ..purges.tags import Listed, read_tags
 from ..site import follows, purge_terms
 
-MAX_STEP_DURATION = (
-    0.005  # seconds of applying purges at a time: a full snapshot takes seconds, and lookups must not wait
-)
+# Seconds of applying purges at a time: a full snapshot takes seconds, and lookups must not wait.
+MAX_STEP_DURATION = 0.005
 
 
 def purge_feed(reactor, deadlines, handler, purges, name, log, count, paced, wall=time, steady=boot_time):
--- a/hookrouter/node/router.py
+++ b/hookrouter/node/router.py
@@ -20,12 +20,10 @@
 from .effects import EFFECTS
 from .start import available_memory
 
-CACHE_BODY_SHARE = (
-    0.25  # share of the available memory for bodies from caches; the unassigned rest is for garbage
-)
-CLIENT_BODY_SHARE = (
-    0.125  # for bodies from clients and unread answers: separate, so that neither starves the other
-)
+# Share of the available memory for bodies from caches; the unassigned rest is for garbage.
+CACHE_BODY_SHARE = 0.25
+# For bodies from clients and unread answers: separate, so that neither starves the other.
+CLIENT_BODY_SHARE = 0.125
 PARTIAL_FRAME_SHARE = 0.0625  # for incomplete frames
 RESERVED_DESCRIPTORS = 24  # for standard streams, reactor, listener, feed and some that are closing
 
@@ -179,9 +177,8 @@
             self.count("calls_of_unknown_kind")
             self.front.failed(call, "unknown kind")
             return
-        if (
-            kind.idempotency == interface.DEDUPLICATED and request.dedup_key is None
-        ):  # without a key no cache could recognise a repeat
+        if kind.idempotency == interface.DEDUPLICATED and request.dedup_key is None:
+            # Without a key no cache could recognise a repeat.
             self.log("client left out the key of a deduplicated lookup, failed")
             self.count("keys_missing")
             self.front.failed(call, "replay is missing")
--- a/hookrouter/node/service.py
+++ b/hookrouter/node/service.py
@@ -11,13 +11,11 @@
 from ..terms import SECOND, Malformed
 
 ACCEPT_DURATION = 0.7  # seconds after SIGTERM: connections arrive for 0.4, lookups for 0.2 more; 0.1 to spare
-MAX_EXIT_DURATION = (
-    3.0  # seconds: SIGKILL comes 0.7 s later, or 0.7 s after the longest deadline if that is shorter
-)
+# Seconds: SIGKILL comes 0.7 s later, or 0.7 s after the longest deadline if that is shorter.
+MAX_EXIT_DURATION = 3.0
 EXIT_MARGIN = 0.65  # seconds after that, clients that do not read are disconnected
-ANSWER_MARGIN = (
-    0.08  # seconds before that, all is answered: some round trips, as a disconnect may lose answers
-)
+# Seconds before that, all is answered: some round trips, as a disconnect may lose answers.
+ANSWER_MARGIN = 0.08
 BACKLOG = 512  # listen queue: more connections than clients may hold of 1,024 descriptors
 DRAIN_CHECK_INTERVAL = 0.02  # seconds between checks whether all is answered
 FIXED_SETTINGS = (
@@ -105,18 +103,24 @@
             self.log("reload refused, all stays as it was", error.user_message())
             return
         self.counters.count("reloads")
-        unchanged_keys = [key for key in FIXED_SETTINGS if getattr(start, key) != getattr(self.start, key)]
+        keys_needing_restart = [
+            key for key in FIXED_SETTINGS if getattr(start, key) != getattr(self.start, key)
+        ]
         if (
             without_reloadable(start.purges) != without_reloadable(self.start.purges)
             or start.tags != self.start.tags
         ):
-            unchanged_keys.append("purges")
+            keys_needing_restart.append("purges")
         if start.trace != self.start.trace:
-            unchanged_keys.append("trace")
+            keys_needing_restart.append("trace")
         self.log(
             "reloaded",
             f"follows {start.feed[0]}:{start.feed[1]}"
-            + (f"; stays as it was until a restart: {', '.join(unchanged_keys)}" if unchanged_keys else ""),
+            + (
+                f"; stays as it was until a restart: {', '.join(keys_needing_restart)}"
+                if keys_needing_restart
+                else ""
+            ),
         )
         self.router.reload(start)
         if self.router.purges is not None and start.purges is not None:
@@ -139,9 +143,8 @@
 
     def _check_drained(self):
         front = self.router.front
-        if (
-            not self.listener_closed and not front.full()
-        ):  # closed while full, it would reset connections in the listen queue
+        if not self.listener_closed and not front.full():
+            # Closed while full, it would reset connections in the listen queue.
             self.listener_closed = True
             self.port.stopListening()
         front.close_idle()
--- a/tests/test_warming_member.py
+++ b/tests/test_warming_member.py
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def host():
-    """A router as Heed and Warmed use it, with the sends it made."""
+    """A router as WarmingObserver and Warmed use it, with the sends it made."""
     sent = []
     node = SimpleNamespace(
         terms=terms(),
