--- a/hookrouter/desk/admission.py
+++ b/hookrouter/desk/admission.py
@@ -87,11 +87,11 @@
         member = (request.getHeader(b"x-member") or request.getClientAddress().host.encode()).decode(
             "latin-1"
         )
-        lease_left = request.getHeader(b"x-lease")
-        lease_left = (
+        remaining_lease = request.getHeader(b"x-lease")
+        remaining_lease = (
             messages.NO_LEASE
-            if lease_left is None
-            else wire.read_whole(lease_left.decode("latin-1"), "X-Lease")
+            if remaining_lease is None
+            else wire.read_whole(remaining_lease.decode("latin-1"), "X-Lease")
         )
         ticket = (request.getHeader(b"x-ticket") or b"").decode("latin-1")
         self.last_connection_id += 1
@@ -101,7 +101,7 @@
         transfer_kind = self._transfer_kind(follow_request)
         self._apply(
             self.gate.arrived(
-                steady(), Arrival(connection_id, member[:64], transfer_kind, lease_left, ticket)
+                steady(), Arrival(connection_id, member[:64], transfer_kind, remaining_lease, ticket)
             )
         )
         return server.NOT_DONE_YET
--- a/hookrouter/desk/publisher.py
+++ b/hookrouter/desk/publisher.py
@@ -170,7 +170,7 @@
             request.skew,
             request.relay,
         )
-        span = self.followers.renew(now, renewal, self.tail.newest.n, self.lease_left())
+        span = self.followers.renew(now, renewal, self.tail.newest.n, self.remaining_lease())
         if span is None:
             self.count("members_refused")
             return None
@@ -182,7 +182,7 @@
     def _granted(self, span: int) -> wire.Granted:
         return wire.Granted(span, self.tail.epoch, self.clock(), self.followers.settling())
 
-    def lease_left(self) -> int | None:
+    def remaining_lease(self) -> int | None:
         """Returns the rest of this publisher's own lease, which bounds those of its followers; None: no
         bound.
         """
--- a/hookrouter/desk/relay.py
+++ b/hookrouter/desk/relay.py
@@ -101,11 +101,11 @@
 
     # ---- from upstream
 
-    def heard(self, epoch: int) -> None:
+    def on_epoch(self, epoch: int) -> None:
         """Handles a message from upstream under that epoch."""
         self.tail.epoch = max(self.tail.epoch, epoch)
 
-    def purged(self, purges: Iterable[Purge]) -> None:
+    def on_purges(self, purges: Iterable[Purge]) -> None:
         """Handles the next purges of the order."""
         # A relay does not know when a purge took effect: a follower that lacks one gets no lease until it has
         # it.
@@ -114,7 +114,7 @@
         self.publish()
         self.settle()
 
-    def whole(self, purges: Iterable[Purge], newest: Position) -> None:
+    def on_snapshot(self, purges: Iterable[Purge], newest: Position) -> None:
         """Handles a snapshot; the followers reconnect and resume from their positions in the new order."""
         self.tail.take(purges, newest)
         self.followers.other_branch()
@@ -125,25 +125,25 @@
         """Adds a sealed slice of the snapshot."""
         self.tail.merge(state)
 
-    def granted(self, asked: int, answered: int, span: int, desk: int) -> None:
+    def on_grant(self, asked: int, answered: int, span: int, desk: int) -> None:
         """Handles a renewal, requested at steady time asked, that was granted for span. answered, desk: wall-
         clock times, unused here.
         """
         self.fence.at(steady())
         self.fence.granted(asked, span)
 
-    def left(self) -> int:
+    def lease_left(self) -> int:
         """Returns the rest of its lease, for the pacing of reconnects."""
-        return self.lease_left()
+        return self.remaining_lease()
 
-    def place(self, number: int) -> tuple[int, int]:
+    def acknowledged(self, number: int) -> tuple[int, int]:
         """Returns (number applied by all live followers, number applied by all followers), at most number."""
         live, every = self.followers.least(steady())
         return min(number, number if live is None else live), min(number, number if every is None else every)
 
     # ---- followers
 
-    def lease_left(self) -> int:
+    def remaining_lease(self) -> int:
         """Returns the rest of its lease: its followers' leases end with it."""
         self.fence.at(steady())
         return self.fence.left()
--- a/hookrouter/feed/events.py
+++ b/hookrouter/feed/events.py
@@ -1,4 +1,4 @@
-"""One numbered event, read: a list of caches with their addresses, or a purge."""
+"""Parses numbered events of the platform's feed: cache lists with addresses, and purges."""
 
 import json
 from typing import NamedTuple
@@ -9,28 +9,34 @@
 PHASES = {"active": interface.READY, "leaving": interface.DRAINING, "left": interface.GONE}
 
 
-class Listed(NamedTuple):
-    n: int
-    whole: bool
+class CacheListEvent(NamedTuple):
+    """The complete list of caches (snapshot), or changes of it."""
+
+    number: int
+    snapshot: bool
     caches: tuple
     addresses: tuple  # (host, port) of each
 
 
-class Purge(NamedTuple):
-    n: int
-    made: int  # Unix time in tenths of a millisecond
+class PurgeEvent(NamedTuple):
+    """A purge of one object or of a whole group."""
+
+    number: int
+    purged_at: int  # Unix time in tenths of a millisecond
     group: int
-    object: str | None  # none: the whole group
+    object: str | None  # None: the whole group
 
 
-def read_address(value, what):
-    host, _, port = terms.read_text(value, what).rpartition(":")
+def read_address(value, key):
+    """(host, port) of "HOST:PORT"; Malformed names the key."""
+    host, _, port = terms.read_text(value, key).rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) < 65536:
-        raise Malformed(f"{what}: an address and a port are wanted, not {terms.excerpt(value)}")
+        raise Malformed(f"{key}: an address and a port are wanted, not {terms.excerpt(value)}")
     return host, int(port)
 
 
 def read_cache(row):
+    """(interface.Cache, address) of one row of a cache list."""
     row = terms.SettingsReader(row, "endpoints")
     cache = interface.Cache(
         id=row.get("name", terms.read_text),
@@ -45,13 +51,14 @@
 
 
 def read_event(event):
+    """An event from its parsed JSON; Malformed names what is missing or invalid."""
     event = terms.SettingsReader(event, "event")
-    n = event.get("n", terms.read_integer)
+    number = event.get("n", terms.read_integer)
     if "members" in event.values:
         members = event.section("members")
         rows = [read_cache(row) for row in members.get("endpoints", terms.read_array)]
-        return Listed(
-            n,
+        return CacheListEvent(
+            number,
             members.get("snapshot", terms.read_flag),
             tuple(cache for cache, _ in rows),
             tuple(address for _, address in rows),
@@ -60,8 +67,8 @@
         raise Malformed("event: neither members nor a purge")
     purge = event.section("purge")
     by_key = "key" in purge.values
-    return Purge(
-        n,
+    return PurgeEvent(
+        number,
         purge.get("at", terms.floor_units),
         0 if by_key else purge.get("group", terms.read_integer),
         purge.get("key", terms.read_text) if by_key else None,
@@ -69,15 +76,15 @@
 
 
 def parse_event(data):
-    """From the bytes of one event; Malformed, whatever they are."""
+    """An event from its bytes; Malformed for any invalid input."""
     try:
         return read_event(json.loads(data))
-    except (ValueError, RecursionError) as wrong:
-        raise Malformed(str(wrong)) from None
+    except (ValueError, RecursionError) as error:
+        raise Malformed(str(error)) from None
 
 
 def read_known(known):
-    """The events as of the start: the last number, and each event in order."""
+    """(number of the last event, events in order) known at the start of a router."""
     known = terms.SettingsReader(known, "known")
     return known.get("n", terms.read_integer), [
         read_event(event) for event in known.get("events", terms.read_array)
--- a/hookrouter/feed/follower.py
+++ b/hookrouter/feed/follower.py
@@ -1,29 +1,33 @@
-"""Follows the control feed: one connection, resumed after any end from the last number told."""
+"""Follows the platform's feed over one connection, resumed after the last event number when it ends."""
 
 from twisted.internet.protocol import ClientFactory, Protocol
 
 from ..parsers import http1, sse
 from . import events
 
-SILENCE = 1.8  # seconds: a comment comes every second; what a feed has counts as told 4 s after it stops
-UP_WITHIN = 1.0  # seconds for a connection: more than any way within a site takes
-FIRST_PAUSE = 0.05  # seconds before the next connection, doubled each time nothing came over the last
-LONGEST_PAUSE = 0.4  # seconds: what a feed has counts as told 2 s after it broke off; refusals cost little
-PASSED_OVER = "look at the feed's version; the event is lost, the place is kept"
-LONGEST_STREAM = 2**60  # bytes: one connection may carry events for as long as it lasts
+# Seconds: a comment comes every second; an event counts as delivered 4 s after the feed falls silent.
+SILENCE_TIMEOUT = 1.8
+CONNECT_TIMEOUT = 1.0  # seconds: more than any connection within a site takes
+MIN_PAUSE = 0.05  # seconds before the next connection, doubled each time the last one brought nothing
+# Seconds: an event counts as delivered 2 s after a disconnect; refused connections cost little.
+MAX_PAUSE = 0.4
+MALFORMED_EVENT_ADVICE = "look at the feed's version; the event is lost, the place is kept"
+MAX_STREAM_BYTES = 2**60  # no limit: one connection carries events for as long as it lasts
 
 
 class Stream(Protocol):
+    """Protocol of one connection to the feed."""
+
     def __init__(self, feed):
-        self.feed, self.why = feed, None
-        self.answers = http1.ResponseParser(
-            self._on_head, self._on_body, self._on_end, LONGEST_STREAM, until_close=True
+        self.feed, self.reason = feed, None
+        self.parser = http1.ResponseParser(
+            self._on_head, self._on_body, self._on_end, MAX_STREAM_BYTES, until_close=True
         )
         self.events = sse.Events()
 
     def connectionMade(self):
         feed = self.feed
-        feed.heard(self)
+        feed.on_activity(self)
         self.transport.writeSequence(
             http1.request(
                 b"GET",
@@ -31,36 +35,38 @@
                 [
                     (b"Host", f"{feed.host}:{feed.port}".encode()),
                     (b"Accept", b"text/event-stream"),
-                    *feed.fields(),
+                    *feed.request_fields(),
                 ],
             )
         )
 
     def dataReceived(self, data):
-        self.feed.heard(self)
+        self.feed.on_activity(self)
         try:
-            self.answers.feed(data)
-        except (http1.Malformed, sse.Malformed) as wrong:
-            self.feed.end(self, wrong.user_message())
+            self.parser.feed(data)
+        except (http1.Malformed, sse.Malformed) as error:
+            self.feed.abort(self, error.user_message())
 
     def _on_head(self, answer):
         if answer.status != 200:
-            self.feed.refused(answer)
+            self.feed.on_rejected(answer)
             raise http1.Malformed(f"status {answer.status}")
 
     def _on_body(self, piece):
-        self.feed.pause = FIRST_PAUSE
+        self.feed.pause = MIN_PAUSE
         for _, data in self.events.feed(piece):
-            self.feed.came(self, data)
+            self.feed.on_event(self, data)
 
     def _on_end(self):
         self.transport.loseConnection()
 
     def connectionLost(self, reason):
-        self.feed.went_down(self, self.why or reason.getErrorMessage())
+        self.feed.on_disconnected(self, self.reason or reason.getErrorMessage())
+
 
+class StreamFactory(ClientFactory):
+    """Factory of one connection to the feed."""
 
-class Way(ClientFactory):
     noisy = False
 
     def __init__(self, stream):
@@ -70,107 +76,126 @@
         return self.stream
 
     def clientConnectionFailed(self, connector, reason):
-        self.stream.feed.went_down(self.stream, self.stream.why or reason.getErrorMessage())
+        self.stream.feed.on_disconnected(self.stream, self.stream.reason or reason.getErrorMessage())
 
 
 class Feed:
-    """desk: what is told of events, listed(event) and purged(event). last: the number told so far."""
+    """Follows the feed.
+
+    handler: gets on_cache_list(event) and on_purge(event). last_number: of the last event delivered.
+    """
 
-    path, counted = b"/v1/events", "feed_connections"
-    ended = "feed connection ended, a new one follows"
+    path, connection_counter = b"/v1/events", "feed_connections"
+    ended_message = "feed connection ended, a new one follows"
 
-    def __init__(self, reactor, deadlines, desk, address, last, log, count):
-        self.reactor, self.deadlines, self.desk, self.log, self.count = reactor, deadlines, desk, log, count
+    def __init__(self, reactor, deadlines, handler, address, last_number, log, count):
+        self.reactor, self.deadlines, self.handler, self.log, self.count = (
+            reactor,
+            deadlines,
+            handler,
+            log,
+            count,
+        )
         self.host, self.port = address
-        self.last, self.pause = last, FIRST_PAUSE
-        self.connector = self.stream = self.patience = None
+        self.last_number, self.pause = last_number, MIN_PAUSE
+        self.connector = self.stream = self.timer = None
         self.stopped = False
 
     def start(self):
+        """Opens a connection."""
         if self.stopped:
             return
-        self.count(self.counted)
+        self.count(self.connection_counter)
         self.stream = Stream(self)
-        self.patience = self.deadlines.after(UP_WITHIN, self.end, self.stream, "not up in time")
-        self.connector = self.reactor.connectTCP(self.host, self.port, Way(self.stream), timeout=None)
+        self.timer = self.deadlines.after(CONNECT_TIMEOUT, self.abort, self.stream, "not up in time")
+        self.connector = self.reactor.connectTCP(
+            self.host, self.port, StreamFactory(self.stream), timeout=None
+        )
 
-    def fields(self):
-        """Of the request: from where on."""
-        return [(b"Last-Event-ID", b"%d" % self.last)]
+    def request_fields(self):
+        """Header fields of the request that state where to resume."""
+        return [(b"Last-Event-ID", b"%d" % self.last_number)]
 
     def stop(self):
+        """Closes the connection and opens no other."""
         self.stopped = True
-        self.deadlines.drop(self.patience)
+        self.deadlines.drop(self.timer)
         if self.stream is not None:
-            self.end(self.stream, "stopped")
+            self.abort(self.stream, "stopped")
 
     def move(self, address):
-        """The feed is elsewhere now; the numbers go on."""
+        """Follows the feed at another address, from the same event number on."""
         if address == (self.host, self.port):
             return
         self.host, self.port = address
-        self.pause = FIRST_PAUSE
+        self.pause = MIN_PAUSE
         if self.stream is not None:
-            self.end(self.stream, "the feed has moved")
+            self.abort(self.stream, "the feed has moved")
         elif not self.stopped:
-            self.deadlines.drop(self.patience)
+            self.deadlines.drop(self.timer)
             self.start()
 
-    def catch_up(self, events):
-        """Events from elsewhere, in order; those that leave numbers out are left to the feed."""
+    def apply_known(self, events):
+        """Delivers events from elsewhere, in order; those after a gap in the numbers are left to the feed."""
         for event in events:
-            if event.n == self.last + 1:
-                self._tell(event)
+            if event.number == self.last_number + 1:
+                self._deliver(event)
 
-    def refused(self, answer):
-        """Another status than 200 came."""
+    def on_rejected(self, answer):
+        """The response has another status than 200; for subclasses."""
 
-    def heard(self, stream):
-        if stream is self.stream:  # a late byte of an old one must not take the next one's timer away
-            self.deadlines.drop(self.patience)
-            self.patience = self.deadlines.after(SILENCE, self.end, stream, "silent")
+    def on_activity(self, stream):
+        """Restarts the silence timer after a connection or input."""
+        if stream is self.stream:  # late input of an old connection must not restart the timer of the next
+            self.deadlines.drop(self.timer)
+            self.timer = self.deadlines.after(SILENCE_TIMEOUT, self.abort, stream, "silent")
 
-    def end(self, stream, why):
+    def abort(self, stream, reason):
+        """Closes the connection, if it is the current one."""
         if stream is not self.stream:
             return
-        stream.why = why
+        stream.reason = reason
         if stream.transport is not None:
             stream.transport.abortConnection()
         else:
             self.connector.stopConnecting()
 
-    def went_down(self, stream, why):
-        """The one place where a connection, or the way to it, is over."""
+    def on_disconnected(self, stream, reason):
+        """The only place where a connection, or an attempt to connect, is over."""
         stream.transport = None
         if stream is not self.stream:
-            return  # its end was told before
-        self.deadlines.drop(self.patience)
+            return  # its end was handled before
+        self.deadlines.drop(self.timer)
         self.stream = self.connector = None
         if not self.stopped:
-            self.log(self.ended, why)
-            self.patience = self.deadlines.after(self.pause, self.start)
-            self.pause = min(LONGEST_PAUSE, 2 * self.pause)
+            self.log(self.ended_message, reason)
+            self.timer = self.deadlines.after(self.pause, self.start)
+            self.pause = min(MAX_PAUSE, 2 * self.pause)
 
-    def came(self, stream, data):
+    def on_event(self, stream, data):
+        """Delivers an event unless it was delivered before; invalid ones are skipped."""
         if stream is not self.stream:
             return
         try:
             event = events.parse_event(data)
-        except events.Malformed as wrong:
-            self.log("feed sent an event that cannot be read, passed over", f"{wrong}; do: {PASSED_OVER}")
+        except events.Malformed as error:
+            self.log(
+                "feed sent an event that cannot be read, passed over",
+                f"{error}; do: {MALFORMED_EVENT_ADVICE}",
+            )
             self.count("feed_malformed")
             return
-        if event.n <= self.last:
-            return  # told already
-        if event.n > self.last + 1:
-            self.log("feed left numbers out", f"{event.n} came after {self.last}")
+        if event.number <= self.last_number:
+            return  # already delivered
+        if event.number > self.last_number + 1:
+            self.log("feed left numbers out", f"{event.number} came after {self.last_number}")
             self.count("feed_gaps")
-        self._tell(event)
+        self._deliver(event)
 
-    def _tell(self, event):
-        self.last = event.n
+    def _deliver(self, event):
+        self.last_number = event.number
         self.count("feed_events")
-        if isinstance(event, events.Listed):
-            self.desk.listed(event)
+        if isinstance(event, events.CacheListEvent):
+            self.handler.on_cache_list(event)
         else:
-            self.desk.purged(event)
+            self.handler.on_purge(event)
--- a/hookrouter/fleet/member/purge_endpoint.py
+++ b/hookrouter/fleet/member/purge_endpoint.py
@@ -3,7 +3,7 @@
 from twisted.web import resource, server
 
 from ...desk import web
-from ...feed.caller import Caller
+from ...feed.http_client import HttpClient
 from ...tables.deadlines import Deadlines
 
 FORWARD_TIMEOUT = 2.5  # seconds for the owner's answer; shorter than a submitter's own timeout
@@ -63,7 +63,7 @@
             (b"X-Passed", b"1"),
             (b"Content-Type", b"application/json"),
         ]
-        client, disconnects = Caller(endpoint.reactor, endpoint.deadlines, (host, int(port))), []
+        client, disconnects = HttpClient(endpoint.reactor, endpoint.deadlines, (host, int(port))), []
         request.notifyFinish().addErrback(disconnects.append)
         endpoint.forwarded += 1
         client.start(request.method, request.uri, fields, body, FORWARD_TIMEOUT).addBoth(
--- a/hookrouter/fleet/member/warming.py
+++ b/hookrouter/fleet/member/warming.py
@@ -42,19 +42,19 @@
 
 
 class Warmer:
-    """Declares, owns and supports warmings; heed: the router's record of caches, objects and purges."""
+    """Declares, owns and supports warmings; observer: the router's record of caches, objects and purges."""
 
-    def __init__(self, reactor, log, section, member, router, heed):
+    def __init__(self, reactor, log, section, member, router, observer):
         self.reactor, self.log, self.section, self.member = reactor, log, section, member
-        self.router, self.heed, self.sharing = router, heed, member.sharing
-        self.lender = Lender(heed.sketch, lambda: heed.purged.newest, router.now())
-        heed.halved = self.lender.halved
+        self.router, self.warming_observer, self.sharing = router, observer, member.sharing
+        self.lender = Lender(observer.sketch, lambda: observer.fleet_purges.newest, router.now())
+        observer.on_halved = self.lender.halved
         self.duty_kind = DUTY_PREFIX + router.terms.topology.zone
         self.commands = CommandStream(
             reactor, f"{member.name}#{member.terms.generation}.warming", member.send_to_leader
         )
         member.command_streams["warming"], self.own_plans, self.runs = self.commands, {}, {}
-        heed.on_list, heed.on_late, heed.on_sent = self._on_list, self._on_late, self._on_sent
+        observer.on_list, observer.on_late, observer.on_sent = self._on_list, self._on_late, self._on_sent
         self.sharing.lend(POPULAR_TOPIC, self._popular)
         self.sharing.lend(PLANS_TOPIC, lambda: encode(list(self.own_plans.values())))
         self.sharing.subscribe(PLAN_TOPIC, self._on_plan_offered)
@@ -115,9 +115,9 @@
     def _on_list(self, before):
         """Declares the warming of a restarted cache, if this router ranks among the first for it by hash."""
         now, zone = self.now(), self.router.terms.topology.zone
-        for name in self.heed.edges(zone, now):
-            cache, previous = self.heed.caches[name], before.get(name)
-            if self.heed.cold(cache, now) and (previous is None or cache.born > previous.born):
+        for name in self.warming_observer.ready_caches(zone, now):
+            cache, previous = self.warming_observer.caches[name], before.get(name)
+            if self.warming_observer.is_cold(cache, now) and (previous is None or cache.born > previous.born):
                 order = rank(name, [self.member.name, *self.sharing.neighbours()])
                 position = order.index(self.member.name)
                 if position < MAX_DECLARERS:
@@ -139,7 +139,7 @@
     def _on_sent(self, cache, size):
         run = self.runs.get(cache)
         if run is not None:
-            run.on_lookup_sent(size or self.heed.mean)
+            run.on_lookup_sent(size or self.warming_observer.mean_size)
 
     # ---- the duty
 
@@ -157,7 +157,9 @@
             or lease.authorize(steady(), None) is None
         ):
             return  # another member owns it by now
-        if cache not in self.heed.caches:  # the feed lags: the allowance depends on the cache's start time
+        if (
+            cache not in self.warming_observer.caches
+        ):  # the feed lags: the allowance depends on the cache's start time
             if tries:
                 self.reactor.callLater(LIST_RETRY_DELAY, self._start_run, result, lease, cache, tries - 1)
             else:
@@ -240,8 +242,12 @@
 
     def cold_position(self, cache):
         """Returns (count of known warmings, index of this one), by which sources' capacity is divided."""
-        names = sorted({*self.runs, *self.lender.plans} & set(self.heed.caches) | {cache})
-        cold = [name for name in names if name == cache or self.heed.cold(self.heed.caches[name], self.now())]
+        names = sorted({*self.runs, *self.lender.plans} & set(self.warming_observer.caches) | {cache})
+        cold = [
+            name
+            for name in names
+            if name == cache or self.warming_observer.is_cold(self.warming_observer.caches[name], self.now())
+        ]
         return len(cold), cold.index(cache)
 
     def clock(self):
--- a/hookrouter/fleet/member/warming_run.py
+++ b/hookrouter/fleet/member/warming_run.py
@@ -1,7 +1,7 @@
 """One warming in progress: carries out the effects of decisions/warming, each fill under a live lease."""
 
 from ... import interface
-from ...caches.errands import Errand
+from ...caches.requests import CacheRequest
 from ...decisions.warming import (
     Allowance,
     BorrowedLists,
@@ -28,9 +28,14 @@
 
     def __init__(self, warmer, cache, lease):
         self.warmer, self.cache, self.lease, self.fencing_token = warmer, cache, lease, lease.fencing_token
-        self.heed, self.router, self.stopped, self.sent = warmer.heed, warmer.router, False, 0
+        self.warming_observer, self.router, self.stopped, self.sent = (
+            warmer.warming_observer,
+            warmer.router,
+            False,
+            0,
+        )
         terms, now = self.router.terms, warmer.now()
-        row = self.heed.caches[cache]
+        row = self.warming_observer.caches[cache]
         self.zone = row.zone
         # bytes per tenth of a millisecond of one transfer
         self.transfer_rate = terms.topology.answer_rate / 10
@@ -59,7 +64,7 @@
             steps.Terms(
                 cache,
                 self._location_state,
-                self.heed.purged,
+                self.warming_observer.fleet_purges,
                 self.fill_gate.source_for,
                 lenders=warmer.section["lenders"],
             ),
@@ -77,15 +82,18 @@
     # ---- state of the location
 
     def _location_state(self):
-        heed, now = self.heed, self.warmer.now()
-        after, settled = heed.edges(self.zone, now), heed.edges(self.zone, now, settled=True)
+        observer, now = self.warming_observer, self.warmer.now()
+        after, settled = (
+            observer.ready_caches(self.zone, now),
+            observer.ready_caches(self.zone, now, settled=True),
+        )
         before = tuple(name for name in after if name != self.cache)
         return LocationState(
             self.cache,
             before,
             after,
             self._warm_caches(now),
-            heed.parents(now),
+            observer.warm_parents(now),
             self.kinds,
             self.router.terms.topology.siblings != interface.NO_SIBLINGS,
             settled or before,
@@ -93,16 +101,16 @@
         )
 
     def _warm_caches(self, now):
-        heed = self.heed
+        observer = self.warming_observer
         return frozenset(
             name
-            for name in heed.edges(self.zone, now)
-            if not heed.cold(heed.caches[name], now) and name != self.cache
+            for name in observer.ready_caches(self.zone, now)
+            if not observer.is_cold(observer.caches[name], now) and name != self.cache
         )
 
     def on_list_changed(self):
         """Aborts if the cache left, drains or restarted, else updates the fill gate."""
-        row, now = self.heed.caches.get(self.cache), self.warmer.now()
+        row, now = self.warming_observer.caches.get(self.cache), self.warmer.now()
         if row is None:
             self.handle_event(messages.Aborted(messages.CACHE_LEFT))
         elif row.phase != interface.READY:
@@ -114,14 +122,14 @@
                 now,
                 True,
                 self._warm_caches(now),
-                self.heed.parents(now),
+                self.warming_observer.warm_parents(now),
                 *self.warmer.cold_position(self.cache),
             )
 
     def set_others_load(self, summary):
         """Updates the allowance by the load of the other routers."""
         if self.allowance is not None and summary is not None:
-            work = self.heed.mean / self.transfer_rate
+            work = self.warming_observer.mean_size / self.transfer_rate
             self.allowance.set_others(self.warmer.now(), summary.age, summary.others_rate * work / 10_000)
 
     def on_lookup_sent(self, size):
@@ -187,7 +195,7 @@
         # 16 hex digits like a client's id: router number, fencing token, fill number.
         router = self.router.terms.topology.number
         trace = f"{router % 65_536:04x}{fenced.fencing_token % (1 << 32):08x}{self.sent % 65_536:04x}"
-        errand = Errand(
+        request = CacheRequest(
             kind_name,
             trace,
             object,
@@ -198,13 +206,13 @@
             FILL_TIMEOUT,
             effect.source or self._origin(),
             0,
-            self.heed.age(kind, object, effect.group, now),
+            self.warming_observer.max_copy_age(kind, object, effect.group, now),
             True,
-            fence=f"{fenced.duty} {fenced.fencing_token}",
+            fencing_token=f"{fenced.duty} {fenced.fencing_token}",
         )
         self.warmer.count("warming_fills")
         send = self.router.caches.send(
-            self.cache, errand, FILL_TIMEOUT / 10_000, self.router.control.rules.max_start_delay / 10_000
+            self.cache, request, FILL_TIMEOUT / 10_000, self.router.control.rules.max_start_delay / 10_000
         )
         send.deferred.addCallback(self._on_fill_ended, effect)
 
@@ -213,19 +221,19 @@
         return next(
             (
                 name
-                for name, candidate in sorted(self.heed.caches.items())
+                for name, candidate in sorted(self.warming_observer.caches.items())
                 if candidate.machine_type == origin_type
             ),
             None,
         )
 
     def _on_fill_ended(self, ended, effect):
-        if ended.refused:
+        if ended.fence_rejected:
             end = messages.OLD_NUMBER
-        elif ended.end != interface.SATISFIED:
+        elif ended.outcome != interface.SATISFIED:
             end = messages.FAILED
         else:
-            end = messages.HELD_ALREADY if ended.note == interface.FOUND else messages.FILLED
+            end = messages.HELD_ALREADY if ended.copy_status == interface.FOUND else messages.FILLED
         self.warmer.count("warming_" + end.replace(" ", "_"))
         self.handle_event(messages.FillEnded(effect.name, end))
 
--- a/hookrouter/node/purging.py
+++ b/hookrouter/node/purging.py
@@ -1,6 +1,4 @@
-"""Fleet-wide purges in one router: its guard, told by the feed; answers that must not be passed on are no
-answers.
-"""
+"""Fleet-wide purges in one router: the guard, updated by the purge feed, and the check of answers."""
 
 from collections import deque
 from time import perf_counter, time
@@ -16,15 +14,26 @@
 from ..purges.tags import Listed, read_tags
 from ..site import follow_addresses, purge_terms
 
-SLICE = 0.005  # seconds of purges taken in at a time: a snapshot of all takes seconds, lookups must not wait
+# Seconds of applying purges at a time: a full snapshot takes seconds, and lookups must not wait.
+MAX_STEP_DURATION = 0.005
 
 
-def purge_feed(reactor, deadlines, desk, purges, name, log, count, paced, wall=time, steady=boot_time):
-    """A router's feed of purges as [purges] has it, not started. desk: see PurgeFeed, and left() where it is
-    paced, that is with [admission].
+def purge_feed(reactor, deadlines, handler, purges, name, log, count, paced, wall=time, steady=boot_time):
+    """A router's purge feed as configured by [purges], not started.
+
+    handler: see PurgeFeed; with paced, that is with [admission], it also needs lease_left().
     """
     feed = PurgeFeed(
-        reactor, deadlines, desk, follow_addresses(purges), purges, name, log, count, wall=wall, steady=steady
+        reactor,
+        deadlines,
+        handler,
+        follow_addresses(purges),
+        purges,
+        name,
+        log,
+        count,
+        wall=wall,
+        steady=steady,
     )
     if paced:
         feed.pace()
@@ -32,21 +41,23 @@
 
 
 class Purging:
-    def __init__(self, start, reactor, deadlines, router, log, count, steady, watch=perf_counter):
-        """steady: see Router; None: the machine's. watch: seconds, for how long a slice has lasted."""
+    """Applies the purges of the feed to the guard and tracks the lease."""
+
+    def __init__(self, start, reactor, deadlines, router, log, count, steady, stopwatch=perf_counter):
+        """steady: see Router, None for the system clock; stopwatch: in seconds, measures each step."""
         purges = start.purges
-        self.deadlines, self.watch = deadlines, watch
-        # Purges told that the guard does not know yet; bounded by the desk's most live.
+        self.deadlines, self.stopwatch = deadlines, stopwatch
+        # Purges received but not applied yet; bounded by the desk's maximum of live purges.
         self.backlog = deque()
         self.steady = steady or boot_time
         self.router, self.log, self.count = router, log, count
-        self.judged = frozenset(
+        self.guarded_kinds = frozenset(
             kind.name
             for kind in start.terms.kinds
             if kind.idempotency == interface.IDEMPOTENT and not kind.write
         )
         tags = None if start.tags is None else Listed(start.tags)
-        self.guard = Guard(purge_terms(purges), tags, self.judged)
+        self.guard = Guard(purge_terms(purges), tags, self.guarded_kinds)
         self.feed = purge_feed(
             reactor,
             deadlines,
@@ -59,78 +70,89 @@
             wall=router.wall,
             steady=self.steady,
         )
-        self.state = self.guard.state()
+        self.lease_state = self.guard.state()
 
-    def left(self):
-        """Of the lease, for who paces those that come back."""
+    def lease_left(self):
+        """Remaining time of the lease, in tenths of a millisecond."""
         self.guard.at(self.steady())
         return self.guard.left()
 
-    # ---- told by the feed
+    # ---- callbacks of the feed
 
-    def heard(self, epoch):
-        """The feed keeps the epoch."""
+    def on_epoch(self, epoch):
+        """Ignored: the feed keeps the epoch itself."""
 
-    def purged(self, purges):
-        idle = not self.backlog
+    def on_purges(self, purges):
+        """Queues purges, in order, and applies them in steps of limited duration."""
+        was_empty = not self.backlog
         self.backlog.extend(purges)
-        if idle:
-            self._take_in()
+        if was_empty:
+            self._apply_backlog()
 
-    def _take_in(self):
-        now, until = self.router.now(), self.watch() + SLICE
+    def _apply_backlog(self):
+        now, step_end = self.router.now(), self.stopwatch() + MAX_STEP_DURATION
         while self.backlog:
-            if self.watch() > until:
-                self.deadlines.after(0, self._take_in)
+            if self.stopwatch() > step_end:
+                self.deadlines.after(0, self._apply_backlog)
                 return
             self.count("purges_told")
             purge = self.backlog.popleft()
             if self.guard.told(now, purge) is Kept.EVERY_NAME:
                 self.count("purges_of_every_name")
-            if self.router.heed is not None:
-                self.router.heed.told(purge)
+            if self.router.warming_observer is not None:
+                self.router.warming_observer.on_fleet_purge(purge)
         self.feed.renew_soon()
 
     def adopt(self, state):
-        """A sealed slice; a Deferred that fires once it is taken in, by steps between which lookups go on."""
+        """Merges a sealed slice in steps, so that lookups go on in between; returns a Deferred that fires at
+        the end.
+        """
         done = Deferred()
         self._merge(self.guard.adopt(self.router.now(), state), done)
         return done
 
     def _merge(self, steps, done):
-        until = self.watch() + SLICE
+        step_end = self.stopwatch() + MAX_STEP_DURATION
         try:
             for _ in steps:
-                if self.watch() > until:
+                if self.stopwatch() > step_end:
                     self.deadlines.after(0, self._merge, steps, done)
                     return
-        except Exception:  # it is fetched and tried again: without it there is no lease
+        except Exception:  # the slice is fetched and merged again: without it there is no lease
             done.errback()
             return
         self.count("slices_taken")
         done.callback(None)
 
-    def whole(self, purges, newest):
-        self.purged(purges)  # what was live here stays: it only makes bounds stricter
+    def on_snapshot(self, purges, newest):
+        """Applies a full list of live purges."""
+        self.on_purges(purges)  # purges known before stay: they only make the bounds stricter
 
-    def granted(self, asked, wall, span, desk):
+    def on_grant(self, requested_at, wall, duration, desk_wall):
+        """The lease was renewed. requested_at and wall: steady and wall time of the request;
+        duration: of the lease, from requested_at on; desk_wall: wall time at the desk.
+        """
         now = self.router.now()
-        self.guard.clock(wall, now, desk)
-        self.guard.granted(asked, span)
-        self.look()
+        self.guard.clock(wall, now, desk_wall)
+        self.guard.granted(requested_at, duration)
+        self.check_lease()
 
-    def place(self, n):
-        """Nothing is answered for while some of it is not taken in."""
+    def acknowledged(self, n):
+        """Position to acknowledge as (applied here, applied by all); (-1, -1) while purges wait to be
+        applied.
+        """
         return (-1, -1) if self.backlog else (n, n)
 
-    # ---- asked by the router
+    # ---- queried by the router
 
-    def look(self):
-        """Before each decision and answer: a process that was paused learns here that its lease is over."""
+    def check_lease(self):
+        """Checks the lease; called before each decision and answer, so that a process that was paused notices
+        at once that its lease has expired.
+        """
         self.guard.at(self.steady())
         state = self.guard.state()
-        if state != self.state:
-            before, self.state = self.state, state
+        if state != self.lease_state:
+            before, self.lease_state = self.lease_state, state
             self.log(
                 "purges: lease held" if state == CURRENT else "purges: without a lease, fenced",
                 level="info" if state == CURRENT else "warn",
@@ -138,26 +160,28 @@
                 now=state,
             )
 
-    def checked(self, ended, asked, began):
-        """The end as it counts: a copy that a purge has made old is as good as none.
+    def judge_result(self, result, request, started_at):
+        """The result of a send, or MISSING if a purge makes the copy too old.
 
-        Only of kinds that may run again: that the others ran is true whatever the age of what came.
+        Only for kinds that may run again: for the others it is true that the lookup ran, whatever the age of
+        the answer.
         """
-        if asked.kind not in self.judged:
-            return ended
+        if request.kind not in self.guarded_kinds:
+            return result
         now = self.router.now()
-        tags = None if ended.tags is None else read_tags(ended.tags)
+        tags = None if result.tags is None else read_tags(result.tags)
         if self.guard.shut() or self.guard.judge(
-            now, began, asked.kind, asked.object, asked.group, ended.since, tags
+            now, started_at, request.kind, request.object, request.group, result.issued_at, tags
         ):
             self.count("copies_refused")
-            return ended._replace(end=interface.MISSING, pieces=(), length=0, made=None)
-        return ended
+            return result._replace(outcome=interface.MISSING, pieces=(), length=0, storable_issued_at=None)
+        return result
 
-    def held(self):
+    def gauges(self):
+        """Gauges of purges and tags, by name."""
         return {
             "purges_live": len(self.guard.index),
             "purges_sealed": self.guard.index.sealed_keys(),
-            "purges_fenced": int(self.state != CURRENT),
+            "purges_fenced": int(self.lease_state != CURRENT),
             "tags_held": len(self.guard.tags.rows),
         }
--- a/hookrouter/node/signals.py
+++ b/hookrouter/node/signals.py
@@ -1,22 +1,24 @@
-"""Signals: kept from the first moment of the program on, and told to the service once it runs.
+"""Records signals from the start of the program and passes them to the service once it runs.
 
 Without a handler SIGHUP, SIGTERM and SIGUSR1 end a process, also while it reads its configuration.
 """
 
 import signal
 
-KEPT = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT, signal.SIGUSR1)
+HANDLED_SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT, signal.SIGUSR1)
 
 
 class Signals:
+    """Handlers of HANDLED_SIGNALS; signals that arrive before on_signal() are queued."""
+
     def __init__(self):
-        self.early = []
-        self.call = self.early.append
-        for number in KEPT:
-            signal.signal(number, lambda number, _: self.call(number))
+        self.pending = []
+        self.handler = self.pending.append
+        for number in HANDLED_SIGNALS:
+            signal.signal(number, lambda number, _: self.handler(number))
 
-    def tell(self, call):
-        """call(number) for each signal from here on, and at once for each that came before."""
-        self.call = call
-        while self.early:
-            call(self.early.pop(0))
+    def on_signal(self, handler):
+        """Sets the function that gets each signal number, and calls it for the queued ones."""
+        self.handler = handler
+        while self.pending:
+            handler(self.pending.pop(0))
--- a/standins/followers.py
+++ b/standins/followers.py
@@ -55,37 +55,37 @@
 
     # ---- calls of the feed
 
-    def purged(self, purges):
+    def on_purges(self, purges):
         """Purges were received."""
         self.reached_end = len(purges) < MOST_IN_EVENT
         self.record_state()
 
-    def whole(self, purges, newest):
+    def on_snapshot(self, purges, newest):
         """A snapshot was received."""
         self.reached_end = True
         self.record_state()
 
-    def granted(self, asked, wall, span, desk):
+    def on_grant(self, asked, wall, span, desk):
         """A lease renewal was answered."""
         self.fence.at(steady())
         self.fence.granted(asked, span)
         self.record_state()
 
-    def left(self):
+    def lease_left(self):
         """Returns the remaining lease."""
         self.fence.at(steady())
         return self.fence.left()
 
-    def came(self, stream, data):
+    def on_event(self, stream, data):
         """Handles an event; the follower counts as connected once no more events are pending."""
         before, self.reached_end = self.place.position, False
-        super().came(stream, data)
+        super().on_event(stream, data)
         reached_end = self.reached_end or self.place.position == before  # a heartbeat: no events are pending
         if stream is self.stream and self.place.parts is None and reached_end and not self.connected:
             self.connected = True
             self.record_state()
 
-    def went_down(self, stream, why):
+    def on_disconnected(self, stream, why):
         """Records the loss of the connection; a share of followers loses its position."""
         if self.connected:
             self.connected = False
@@ -94,7 +94,7 @@
                 self.place.seen = seen
                 self.fence = Fence(self.fence.lease)
             self.record_state()
-        super().went_down(stream, why)
+        super().on_disconnected(stream, why)
 
     def record_state(self):
         """Writes a row to the history if the state has changed."""
@@ -114,10 +114,10 @@
     def __getattr__(self, name):
         return getattr(self.follower, name)
 
-    def heard(self, epoch):
+    def on_epoch(self, epoch):
         """Does nothing; the feed keeps the epoch."""
 
-    def place(self, n):
+    def acknowledged(self, n):
         """Returns the number as the position applied and served from."""
         return n, n
 
@@ -141,9 +141,9 @@
         for n in range(count)
     ]
     for n, follower in enumerate(followers):
-        follower.desk = FeedListener(follower)
+        follower.handler = FeedListener(follower)
         if follower.pacing is not None:
-            follower.pacing.desk = follower
+            follower.pacing.lease_holder = follower
         reactor.callLater(n * START_INTERVAL, follower.start)
 
     def check_all():
--- a/standins/hollow/router.py
+++ b/standins/hollow/router.py
@@ -30,14 +30,14 @@
         """lease: of [purges], in tenths of a millisecond."""
         self.fence, self.received = Fence(lease), 0
 
-    def heard(self, epoch: int) -> None:
+    def on_epoch(self, epoch: int) -> None:
         """Does nothing; the feed keeps the epoch."""
 
-    def purged(self, purges: Sequence[Purge]) -> None:
+    def on_purges(self, purges: Sequence[Purge]) -> None:
         """Counts purges, which arrive in order."""
         self.received += len(purges)
 
-    def whole(self, purges: Sequence[Purge], newest: PurgePosition) -> None:
+    def on_snapshot(self, purges: Sequence[Purge], newest: PurgePosition) -> None:
         """Counts the purges of a snapshot of all live ones."""
         self.received += len(purges)
 
@@ -45,16 +45,16 @@
         """Counts the keys of a sealed slice of the snapshot."""
         self.received += state.keys
 
-    def granted(self, asked: int, wall: int, span: int, desk: int) -> None:
+    def on_grant(self, asked: int, wall: int, span: int, desk: int) -> None:
         """Extends the lease after an answered renewal."""
         self.fence.at(steady())
         self.fence.granted(asked, span)
 
-    def place(self, n: int) -> PurgePosition:
+    def acknowledged(self, n: int) -> PurgePosition:
         """Returns n as the position applied and served from, since purges are applied on receipt."""
         return PurgePosition(n, n)
 
-    def left(self) -> int:
+    def lease_left(self) -> int:
         """Returns the remaining lease, which the admission control of reconnects asks for."""
         self.fence.at(steady())
         return self.fence.left()
--- a/standins/hollow/sockets.py
+++ b/standins/hollow/sockets.py
@@ -8,7 +8,7 @@
 from collections.abc import Collection
 from typing import Any
 
-from hookrouter.feed import caller, follower
+from hookrouter.feed import follower, http_client
 from hookrouter.feed.purges import PurgeFeed
 from hookrouter.fleet.wire.datagrams import Datagrams
 from hookrouter.fleet.wire.post import Post
@@ -81,7 +81,7 @@
     """Whether a protocol follows purges or renews the purge lease."""
     if isinstance(protocol, follower.Stream):
         return isinstance(protocol.feed, PurgeFeed)
-    return isinstance(protocol, caller.Connection)
+    return isinstance(protocol, http_client.Connection)
 
 
 def count_connection(protocol: Any, kind: Exchanged, sent: MessageMeter, received: MessageMeter) -> None:
--- a/tests/crowd_mistakes.py
+++ b/tests/crowd_mistakes.py
@@ -6,11 +6,11 @@
 import sys
 
 from hookrouter import interface
-from hookrouter.caches.pool import Caches
+from hookrouter.caches.pool import CachePool
 from hookrouter.front.connections import Front
 from hookrouter.node.router import Router
 
-satisfied, listed, send = Front.satisfied, Router.listed, Caches.send
+satisfied, listed, send = Front.satisfied, Router.on_cache_list, CachePool.send
 
 
 def mark_as_warm(row):
@@ -35,7 +35,7 @@
 
 
 def never_satisfied(front, call, pieces, length):
-    front.connections.get(call[0]).open.pop(call[1])
+    front.connections.get(call[0]).open_calls.pop(call[1])
 
 
 def listed_without_drains(router, event):
@@ -60,16 +60,16 @@
     "twice": lambda: setattr(Front, "satisfied", satisfied_twice),
     "spoilt": lambda: setattr(Front, "satisfied", satisfied_with_corrupt_bytes),
     "silent": lambda: setattr(Front, "satisfied", never_satisfied),
-    "purges": lambda: setattr(Router, "purged", lambda router, event: None),
-    "drains": lambda: setattr(Router, "listed", listed_without_drains),
-    "effects": lambda: setattr(Caches, "send", send_twice),
+    "purges": lambda: setattr(Router, "on_purge", lambda router, event: None),
+    "drains": lambda: setattr(Router, "on_cache_list", listed_without_drains),
+    "effects": lambda: setattr(CachePool, "send", send_twice),
     "cold": lambda: None,
 }
 
 
 def install(name):
     """Installs a mistake of MISTAKES; all of them ignore cold starts."""
-    Router.listed = listed_without_cold_starts
+    Router.on_cache_list = listed_without_cold_starts
     MISTAKES[name]()
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -72,7 +72,7 @@
     code = (
         "import sys, hookrouter.desk.desk, hookrouter.desk.relay, hookrouter.desk.web, "
         "hookrouter.node.service, hookrouter.feed.purges, hookrouter.node.purging; "
-        "print([name for name in sys.modules if 'admission' in name or 'feed.paced' in name])"
+        "print([name for name in sys.modules if 'admission' in name or 'feed.reconnect_pacing' in name])"
     )
     out = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert out.stdout == "[]\n"
--- a/tests/test_admission_network.py
+++ b/tests/test_admission_network.py
@@ -4,21 +4,23 @@
 import time
 
 from fleet import answer, configuration, endpoint, members
-from processes import Cache, Standing
+from processes import BackgroundServer, Cache
 from purging import event, purges, site
-from test_purge_follower import Following
+from test_purge_follower import FollowerScene
 
-from hookrouter.feed.paced import Pacing
+from hookrouter.feed.reconnect_pacing import ReconnectPacing
 from standins.ports import free_port
 from standins.purge_rig import PurgeRig
 
 
 def test_a_deferred_follower_reconnects_at_the_stated_time_with_its_ticket(tmp_path):
-    scene = Following(tmp_path)
-    scene.desk.left = lambda: 1_234
+    scene = FollowerScene(tmp_path)
+    scene.handler.lease_left = lambda: 1_234
     scene.feed.pace()
-    scene.feed.went_down(scene.feed.stream, "closed")  # without an answer: random delay
-    assert 0.02 <= scene.net.seconds() + scene.feed.pause <= 0.4 and isinstance(scene.feed.pacing, Pacing)
+    scene.feed.on_disconnected(scene.feed.stream, "closed")  # without an answer: random delay
+    assert 0.02 <= scene.net.seconds() + scene.feed.pause <= 0.4 and isinstance(
+        scene.feed.pacing, ReconnectPacing
+    )
     scene.net.pump([0.05] * 10)
     way = next(way for way in reversed(scene.net.ways) if not way.over and hasattr(way.factory, "stream"))
     line = way.up()
@@ -30,15 +32,15 @@
     assert not [way for way in scene.net.ways[before:] if hasattr(way.factory, "stream")]
     scene.net.pump([0.1] * 2)
     line = scene.stream()
-    assert b"X-Ticket: abcd" in line.asked and scene.feed.pacing.comer.cap() == 16_000
+    assert b"X-Ticket: abcd" in line.asked and scene.feed.pacing.reconnector.cap() == 16_000
     scene.send(line, event("purges", 5, purges=purges(1)))
-    assert scene.desk.applied == [1] and scene.feed.pacing.comer.ticket == ""
+    assert scene.handler.applied == [1] and scene.feed.pacing.reconnector.ticket == ""
 
 
 def test_a_desk_killed_twice_during_one_reconnect_storm(tmp_path):
     """Routers and followers reconnect each time; no acknowledged purge is lost or violated by an answer."""
     assert site(tmp_path)["purges"]
-    with Standing(Cache) as cache, PurgeRig(tmp_path) as purge_rig:
+    with BackgroundServer(Cache) as cache, PurgeRig(tmp_path) as purge_rig:
         desk = purge_rig.start_desk()
         purge_rig.start_relay()
         fleet = [endpoint("c0", cache.port), endpoint("o0", cache.port, "origin")]
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -1,4 +1,4 @@
-"""Sends and probes in memory: each ends once, as what it was, and gives back what it took."""
+"""Sends and probes in memory: each ends once with the right outcome and releases its resources."""
 
 from random import Random
 
@@ -6,12 +6,12 @@
 from fleet import END, MS, SECOND, Net, Noted, answer, terms
 
 from hookrouter import interface
-from hookrouter.caches import Caches, Errand
+from hookrouter.caches import CachePool, CacheRequest
 from hookrouter.control.rules import Rules
 from hookrouter.tables.body_memory import BodyMemory
 from hookrouter.tables.deadlines import Deadlines
 
-PLAIN = Errand("clip", "9b1f", "7f3a", 3, None, None, b"", 900 * MS)
+PLAIN = CacheRequest("clip", "9b1f", "7f3a", 3, None, None, b"", 900 * MS)
 
 
 class Scene:
@@ -23,18 +23,22 @@
             [],
         )
         self.deadlines = Deadlines(self.net)
-        self.caches = Caches(
+        self.caches = CachePool(
             self.net, self.deadlines, self.room, most, terms(**more), self.noted.log, self.noted.count
         )
         self.soon = (
             Rules(None, terms(**more)).max_start_delay / SECOND
         )  # what the module lets a first attempt wait
         for n in range(3):
-            self.caches.learn(f"c{n}", ("127.0.0.1", 7000 + n), 0)
+            self.caches.update(f"c{n}", ("127.0.0.1", 7000 + n), 0)
 
-    def send(self, name="c0", errand=PLAIN, leave=None, wanted=lambda: True):
+    def send(self, name="c0", request=PLAIN, start_within=None, is_wanted=lambda: True):
         send = self.caches.send(
-            name, errand, errand.wait / SECOND, self.soon if leave is None else leave, wanted
+            name,
+            request,
+            request.timeout / SECOND,
+            self.soon if start_within is None else start_within,
+            is_wanted,
         )
         send.deferred.addCallback(self.ended.append)
         return send
@@ -43,9 +47,9 @@
         return self.net.ways[-1].up()
 
     def ends(self):
-        return [ended.end for ended in self.ended]
+        return [ended.outcome for ended in self.ended]
 
-    def nothing_is_left(self):
+    def assert_all_released(self):
         assert len(self.deadlines) == 0 and len(self.caches.connections) == 0 and self.room.used_bytes == 0
         assert not self.caches.waiting and not self.caches.idle and not self.room.waiting
 
@@ -53,7 +57,7 @@
 def test_a_send_carries_every_field_in_the_form_of_the_page():
     s = Scene()
     s.send(
-        errand=Errand(
+        request=CacheRequest(
             "a kind",
             "9b1f",
             "7f3a",
@@ -99,13 +103,13 @@
 )
 def test_each_answer_ends_as_what_it_is(said, end):
     s = Scene()
-    s.send(errand=PLAIN._replace(seen="4be0"))
+    s.send(request=PLAIN._replace(client_revision="4be0"))
     wire = s.up()
     for byte in said:
         wire.come(bytes([byte]))
     assert s.ends() == [end] and wire.open
     ended = s.ended[0]
-    assert ended.unchanged == (b" 304 " in said) and b"".join(ended.pieces) == (
+    assert ended.not_modified == (b" 304 " in said) and b"".join(ended.pieces) == (
         b"body" if b" 200 " in said else b""
     )
     assert ended.length == len(b"".join(ended.pieces)) and s.room.used_bytes == 0
@@ -130,7 +134,7 @@
     wire.come(said)
     s.net.advance(0)
     assert s.ends() == [interface.BROKEN] and not wire.open and "caches_malformed" in s.noted.counted
-    s.nothing_is_left()
+    s.assert_all_released()
 
 
 def test_an_early_end_is_broken_and_a_slow_drip_is_late():
@@ -148,7 +152,7 @@
         s.net.advance(0.1)
         wire.come(b"x")
     assert s.ends() == [interface.BROKEN, interface.LATE]
-    s.nothing_is_left()
+    s.assert_all_released()
 
 
 def test_what_comes_after_an_answer_or_unasked_ends_the_connection():
@@ -160,7 +164,7 @@
     s.net.ways[-1].wire.come(b"more")
     s.net.advance(0)
     assert s.ends() == [interface.SATISFIED] * 2 and len(s.net.ways) == 2
-    s.nothing_is_left()
+    s.assert_all_released()
 
 
 def test_a_connection_is_used_again_one_request_at_a_time_until_idle_too_long():
@@ -178,7 +182,7 @@
     assert first.open and not second.open
     s.net.pump([0.2, 0])  # before the cache would close it
     assert not first.open
-    s.nothing_is_left()
+    s.assert_all_released()
 
 
 def test_a_connection_that_the_cache_closed_while_idle_costs_no_send():
@@ -202,26 +206,26 @@
     s.send()
     s.net.advance(0.4)
     assert s.ends() == [interface.UNREACHED] * 2 and s.net.ways[-1].over
-    s.send(errand=PLAIN._replace(wait=100 * MS))
+    s.send(request=PLAIN._replace(timeout=100 * MS))
     s.net.advance(0.1)
     assert s.ends() == [interface.UNREACHED] * 3
-    s.nothing_is_left()
+    s.assert_all_released()
 
 
 def test_a_send_leaves_soon_or_never_for_what_it_names_may_drain_meanwhile():
     s = Scene(most=1, connect_timeout=900 * MS, drain_grace=500 * MS)
     s.send("c0")
     s.up()
-    s.send("c1")  # no descriptor, though its own time would last for longer
+    s.send("c1")  # no descriptor, though its timeout is longer
     s.net.pump([0.47, 0.02])
     assert s.ends() == [interface.VOID]
     s.net.ways[0].wire.come(answer(404))
-    s.caches.forget("c0")
+    s.caches.remove("c0")
     s.net.advance(0)
     s.send("c1")
     s.net.pump([0.47, 0.02])
     assert s.ends() == [interface.VOID, interface.MISSING, interface.UNREACHED]
-    s.nothing_is_left()
+    s.assert_all_released()
 
 
 def test_a_deployment_without_any_grace_still_sends():
@@ -240,16 +244,18 @@
     s.send("c0")
     s.caches.probe("c0").deferred.addCallback(s.ended.append)
     s.net.advance(0)
-    assert list(s.caches.places) == ["c1", "c2"] and len(s.net.ways) == 1
-    wire.come(answer(200, b"x"))  # one under way goes on
+    assert list(s.caches.endpoints) == ["c1", "c2"] and len(s.net.ways) == 1
+    wire.come(answer(200, b"x"))  # an active send goes on
     s.net.advance(0)
     assert s.ends() == [interface.VOID, interface.VOID, interface.SATISFIED]
-    s.nothing_is_left()
+    s.assert_all_released()
 
 
 @pytest.mark.parametrize("unread", [answer(200, b"other"), b"noise", END])
 def test_a_connection_with_something_unread_takes_no_request(unread):
-    """The end of an answer and what follows it may come in two reads; a request between would meet that copy."""
+    """The end of a response and unexpected data may come in two reads; a request written in between would get
+    that data as its response.
+    """
     s = Scene()
     s.send()
     wire = s.up()
@@ -264,10 +270,12 @@
 
 
 def test_a_send_given_up_at_the_moment_its_time_is_over_was_late():
-    """The alarm for the same moment comes first: seen on sockets, the module learned of no send silent to the end."""
+    """An alarm for the same moment runs first. It cancelled the send, so Control never learned of sends
+    without a response.
+    """
     s, sends = Scene(), []
-    s.deadlines.after(0.9, lambda: [send.give_up() for send in sends])
-    sends += [s.send("c0"), s.send("c1", PLAIN._replace(wait=901 * MS))]
+    s.deadlines.after(0.9, lambda: [send.cancel() for send in sends])
+    sends += [s.send("c0"), s.send("c1", PLAIN._replace(timeout=901 * MS))]
     for way in s.net.ways:
         way.up()
     s.net.pump([0.9, 0])
@@ -276,7 +284,7 @@
 
 @pytest.mark.parametrize("how", ["late", "given up", "unreadable"])
 def test_a_send_has_not_ended_before_its_connection_is_closed(how):
-    """Else the next send of its lookup was out a turn before: two at once, seen on sockets."""
+    """Otherwise the next send of its lookup started a turn before, with two active at once."""
     s, left = Scene(), []
     send = s.send()
     send.deferred.addCallback(lambda _: left.append(len(s.caches.connections)))
@@ -284,13 +292,13 @@
     if how == "late":
         s.net.advance(0.9)
     elif how == "given up":
-        send.give_up()
+        send.cancel()
     else:
         wire.come(b"junk\r\n\r\n")
     assert not wire.open
     s.net.advance(0)
     assert left == [0]
-    s.nothing_is_left()
+    s.assert_all_released()
 
 
 def test_silence_is_late_and_a_cancelled_send_ends_at_once():
@@ -300,15 +308,15 @@
     s.net.pump([0.9, 0])
     send = s.send()
     cancelled = s.up()
-    send.give_up()
-    send.give_up()
+    send.cancel()
+    send.cancel()
     s.net.advance(0)
     assert s.ends() == [interface.LATE, interface.CANCELLED]
     coming = s.send()
-    coming.give_up()
+    coming.cancel()
     s.net.advance(0)
     assert not silent.open and not cancelled.open and s.ends()[2:] == [interface.CANCELLED]
-    s.nothing_is_left()
+    s.assert_all_released()
 
 
 def test_short_of_descriptors_a_send_takes_an_idle_one_waits_or_was_never_sent():
@@ -319,20 +327,20 @@
     s.send("c1")
     s.net.pump([0, 0.2])
     assert not idle.open and len(s.net.ways) == 2
-    s.send("c2", PLAIN._replace(wait=100 * MS))
-    s.send("c0", PLAIN._replace(wait=700 * MS))
+    s.send("c2", PLAIN._replace(timeout=100 * MS))
+    s.send("c0", PLAIN._replace(timeout=700 * MS))
     s.net.pump([0.1, 0.1])
     assert s.ends() == [
         interface.SATISFIED,
         interface.VOID,
         interface.UNREACHED,
-    ]  # the third had no place, the second was not up in time
+    ]  # the third got no descriptor, the second was not connected in time
     assert s.net.ways[-1].port == 7000 and len(s.net.ways) == 3
     s.up().come(answer(404))
-    s.caches.forget("c0")
+    s.caches.remove("c0")
     s.net.advance(0)
     assert s.ends()[3:] == [interface.MISSING]
-    s.nothing_is_left()
+    s.assert_all_released()
 
 
 def test_a_send_that_waits_takes_a_connection_of_its_cache_as_it_becomes_free():
@@ -357,9 +365,9 @@
         s.send(name)
         wire = s.up()
         wire.come(answer(200, b"x"))
-        s.caches.learn(name, (s.caches.places[name].host, s.caches.places[name].port), 0)
+        s.caches.update(name, (s.caches.endpoints[name].host, s.caches.endpoints[name].port), 0)
         assert wire.open
-        s.caches.learn(*change)
+        s.caches.update(*change)
         s.net.advance(0)
         assert not wire.open
     s.send("c1")
@@ -380,7 +388,7 @@
     assert other.producerState == "paused"
     other.abortConnection()
     s.net.advance(0)
-    s.nothing_is_left()
+    s.assert_all_released()
 
 
 def test_a_probe_ends_with_its_report():
@@ -408,7 +416,7 @@
         open_ways = [way for way in s.net.ways if not way.over]
         wires = [way.wire for way in s.net.ways if way.wire is not None and way.wire.open]
         if what < 2 and len(sent) < 150:
-            sent.append(s.send(f"c{dice.randrange(3)}", PLAIN._replace(wait=dice.randrange(1, 900) * MS)))
+            sent.append(s.send(f"c{dice.randrange(3)}", PLAIN._replace(timeout=dice.randrange(1, 900) * MS)))
         elif what == 2 and open_ways:
             way = dice.choice(open_ways)
             dice.choice((way.up, way.up, way.refuse))()
@@ -419,10 +427,10 @@
         elif what == 4 and wires:
             dice.choice(wires).abortConnection()
         elif what == 5 and sent:
-            dice.choice(sent).give_up()
+            dice.choice(sent).cancel()
         else:
             s.net.advance(dice.choice((0, 0.01, 0.2)))
         assert len(s.caches.connections) <= 4
     s.net.pump([1, 0, 20, 0, 0])
     assert len(s.ended) == len(sent)
-    s.nothing_is_left()
+    s.assert_all_released()
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -1,4 +1,4 @@
-"""The control feed in memory: each event told once, in order, through any end of a connection."""
+"""The control feed in memory: each event is delivered once, in order, across connections."""
 
 import json
 
@@ -29,26 +29,29 @@
         )
         self.feed.start()
 
-    def listed(self, event):
+    def on_cache_list(self, event):
         self.seen.append(event)
 
-    def purged(self, event):
+    def on_purge(self, event):
         self.seen.append(event)
 
     def numbers(self):
-        return [event.n for event in self.seen]
+        return [event.number for event in self.seen]
 
 
 def test_events_become_lists_and_purges():
     s = Scene()
     wire = s.net.ways[0].up()
-    assert wire.take().startswith(b"GET /v1/events HTTP/1.1\r\n") and s.feed.last == 3
+    assert wire.take().startswith(b"GET /v1/events HTTP/1.1\r\n") and s.feed.last_number == 3
     wire.come(HEAD + told(members(4, endpoint("s-1", 7001, status="leaving", since=1764576000000))))
     wire.come(told(purge(5, key="7f3a")) + told(purge(6, group=17)) + b": comment\n\n")
     listed, by_key, by_group = s.seen
     assert listed.caches == (interface.Cache("s-1", "edge", 0, 8, 17645760000000, interface.DRAINING, "box"),)
-    assert listed.addresses == (("127.0.0.1", 7001),) and not listed.whole
-    assert (by_key.object, by_key.made) == ("7f3a", 17645760001230) and (by_group.object, by_group.group) == (
+    assert listed.addresses == (("127.0.0.1", 7001),) and not listed.snapshot
+    assert (by_key.object, by_key.purged_at) == ("7f3a", 17645760001230) and (
+        by_group.object,
+        by_group.group,
+    ) == (
         None,
         17,
     )
@@ -74,7 +77,7 @@
         s.net.advance(1)
         wire.come(b":\n\n")
     assert wire.open and len(s.net.ways) == 1
-    s.net.pump([1, 0.9, 0, 0.05])  # what it has counts as told 4 s after it stopped
+    s.net.pump([1, 0.9, 0, 0.05])  # its events count as delivered 4 s after it falls silent
     assert not wire.open and len(s.net.ways) == 2
 
 
@@ -87,7 +90,7 @@
     assert 20 < len(s.net.ways) < 35
     s.net.ways[-1].over or s.net.ways[-1].refuse()
     s.net.advance(1)
-    s.net.pump([0.5, 0.5, 0, 1])  # one that never comes up
+    s.net.pump([0.5, 0.5, 0, 1])  # never connected
     assert s.net.ways[-2].over and not s.net.ways[-1].over
 
 
@@ -130,7 +133,7 @@
     old = s.net.ways[0].up()
     old.come(HEAD + told(purge(4, group=1)))
     s.feed.move(("127.0.0.1", 9092))
-    assert old.open  # it is there already
+    assert old.open  # the address is the same
     s.feed.move(("127.0.0.1", 9093))
     s.net.pump([0, 0.05])
     new = s.net.ways[-1]
@@ -148,7 +151,7 @@
 def test_events_from_elsewhere_are_told_only_where_they_follow():
     s = Scene()
     _, events = read_known({"n": 9, "events": [purge(n, group=1) for n in (2, 3, 4, 5, 8, 9)]})
-    s.feed.catch_up(events)
+    s.feed.apply_known(events)
     s.net.ways[0].up().come(HEAD + told(purge(5, group=1)) + told(purge(6, group=1)))
     assert s.numbers() == [4, 5, 6]
 
@@ -165,18 +168,18 @@
     last, events = read_known(
         {"n": 2, "events": [members(1, endpoint("a", 7001), whole=True), purge(2, key="ab")]}
     )
-    assert last == 2 and [event.n for event in events] == [1, 2] and events[0].whole
+    assert last == 2 and [event.number for event in events] == [1, 2] and events[0].snapshot
 
 
 def test_a_late_byte_of_an_old_stream_takes_the_next_ones_timer_not_away():
     s = Scene()
     old = s.net.ways[0].up()
     stream = old.protocol
-    s.feed.end(stream, "silent")
+    s.feed.abort(stream, "silent")
     s.net.advance(0)
-    stream.feed.heard(stream)
+    stream.feed.on_activity(stream)
     s.net.advance(0.05)
     assert len(s.net.ways) == 2
-    stream.feed.heard(stream)
+    stream.feed.on_activity(stream)
     s.net.advance(1)
     assert s.net.ways[1].over  # it had a second to come up
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -10,15 +10,15 @@
 def test_a_repeat_is_written_within_its_time_or_never():
     """A repeat must arrive before the cache forgets the first send, and connecting may take 0.4 s."""
     scene = Scene(most=1)
-    scene.send(leave=0.05)
+    scene.send(start_within=0.05)
     scene.net.advance(0.06)
     assert scene.ends() == [interface.UNREACHED]
-    scene.send(leave=0.05)
+    scene.send(start_within=0.05)
     scene.net.rightNow += 0.06  # the process paused: no timer was called
     wire = scene.up()
     scene.net.advance(0)
     assert wire.take() == b"" and not wire.open and scene.ends() == [interface.UNREACHED] * 2
-    scene.nothing_is_left()
+    scene.assert_all_released()
 
 
 @pytest.mark.parametrize("stage", ["a dial", "a descriptor", "an idle connection"])
@@ -30,7 +30,7 @@
     if stage == "an idle connection":
         scene.net.ways[-1].wire.come(answer(200, b"x"))
         wanted[0] = False
-    scene.send(wanted=lambda: wanted[0])
+    scene.send(is_wanted=lambda: wanted[0])
     wanted[0] = False
     if stage == "a dial":
         scene.up()
@@ -38,7 +38,7 @@
         scene.net.ways[-1].wire.come(answer(200, b"x"))
     scene.net.advance(0)
     assert scene.ends()[-1] == interface.CANCELLED and scene.net.ways[-1].wire.take() == b""
-    scene.nothing_is_left()
+    scene.assert_all_released()
 
 
 def test_an_answer_still_unread_at_its_deadline_counts_as_in_time():
@@ -48,8 +48,8 @@
     scene.up().unread = answer(200, b"body")
     scene.net.pump([0.9, 0])
     assert scene.ends() == [interface.SATISFIED] and scene.ended[0].pieces == (b"body",)
-    scene.send(errand=PLAIN._replace(object="0d55"))
+    scene.send(request=PLAIN._replace(object="0d55"))
     scene.net.ways[-1].wire.unread = answer(200, b"body")[:-1]
     scene.net.pump([0.9, 0])
     assert scene.ends() == [interface.SATISFIED, interface.LATE]
-    scene.nothing_is_left()
+    scene.assert_all_released()
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -11,7 +11,7 @@
 import pytest
 from fleet import FLEET, configuration, endpoint, members, message, router
 from hypothesis import given, settings, strategies
-from processes import Cache, FeedStandIn, Standing, ask
+from processes import BackgroundServer, Cache, FeedStandIn, ask
 from sharing_mistakes import MISTAKES
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
@@ -26,8 +26,8 @@
 from hookrouter.decisions.sharing.bounds import capped_sum  # noqa: E402
 from hookrouter.decisions.sharing.load_table import rank  # noqa: E402
 from hookrouter.decisions.sharing.pulls import PIECE_BYTES, Lender, Puller  # noqa: E402
-from hookrouter.node.tally import Tally  # noqa: E402
-from hookrouter.node.told import Told  # noqa: E402
+from hookrouter.node.cache_loads import CacheLoads  # noqa: E402
+from hookrouter.node.shared_state import SharedState  # noqa: E402
 from hookrouter.site import InvalidSiteFile, read_text  # noqa: E402
 from standins.ports import free_port
 from standins.rig import Rig  # noqa: E402
@@ -205,19 +205,19 @@
 
 
 def test_a_tally_averages_what_goes_out_and_forgets_caches_that_are_gone():
-    tally = Tally()
+    cache_loads = CacheLoads()
 
     def rows(now):
-        return {name: (out, rate) for name, _, out, rate in tally.look(now)}
+        return {name: (out, rate) for name, _, out, rate in cache_loads.sample(now)}
 
-    tally.look(0)
+    cache_loads.sample(0)
     for now in range(1_000, 200_001, 1_000):  # twice in 100 ms, each 50 ms long
         for _ in range(2):
-            tally.sent("c0", "p0")
-        tally.ended("c0", "p0", interface.SATISFIED, 500)
+            cache_loads.send_started("c0", "p0")
+        cache_loads.send_ended("c0", "p0", interface.SATISFIED, 500)
         seen = rows(now)
-        tally.ended("c0", "p0", interface.FULL, 500)
-    assert abs(seen["c0"][0] - 1) < 0.1 and abs(seen["p0"][1] - 20) < 1 and not tally.out
+        cache_loads.send_ended("c0", "p0", interface.FULL, 500)
+    assert abs(seen["c0"][0] - 1) < 0.1 and abs(seen["p0"][1] - 20) < 1 and not cache_loads.active_sends
     for now in range(201_000, 500_000, 1_000):
         seen = rows(now)
     assert seen == {}
@@ -225,8 +225,8 @@
 
 def test_a_starting_router_takes_over_half_of_its_neighbours_evidence_and_sets_no_cache_aside():
     def told(control):
-        made = Told(SimpleNamespace(control=control, now=lambda: control.now))
-        made.tally.list(SimpleNamespace(caches=FLEET, whole=True))
+        made = SharedState(SimpleNamespace(control=control, now=lambda: control.now))
+        made.cache_loads.update_caches(SimpleNamespace(caches=FLEET, snapshot=True))
         return made
 
     lender, starter = told(router()), told(router())
@@ -262,12 +262,12 @@
 
 
 class Fresh(Cache):
-    def told(self):
+    def extra_fields(self):
         return (b"X-Since-Ms: %d" % (time.time() * 1_000),)
 
 
 def test_routers_share_loads_one_cut_off_forgets_and_one_that_restarts_pulls_soft_state(tmp_path):
-    with Standing(Fresh) as cache, Standing(FeedStandIn) as feed:
+    with BackgroundServer(Fresh) as cache, BackgroundServer(FeedStandIn) as feed:
         rig, ports = (
             Rig(tmp_path, keepers=3, zones=1, sections="[sharing]\nsilent after = 3 s\npull within = 5 s\n"),
             {},
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -13,7 +13,7 @@
 from hookrouter import interface
 from hookrouter.__main__ import main
 from hookrouter.control import Control
-from hookrouter.node.tracing import BLOCK
+from hookrouter.node.tracing import BLOCK_BYTES
 from hookrouter.stores.trace_log import MAX_SEGMENTS, TraceLog, list_segments, read_lines
 from hookrouter.trace import Account, Replay, Row, UnreadableTrace, read_header, read_row
 from hookrouter.trace.rows import MAX_LINE, Header, KindRow, known_load
@@ -55,7 +55,7 @@
 def test_decisions_are_read_back_and_a_replay_by_the_same_build_repeats_them(tmp_path):
     scene = traced_scene(tmp_path)
     play_lookups(scene, 200)
-    assert scene.router.trace.recorder.size < BLOCK + MAX_LINE  # the lines not yet written are bounded
+    assert scene.router.trace.recorder.size < BLOCK_BYTES + MAX_LINE  # the lines not yet written are bounded
     scene.router.trace.close()
     ((header, rows),) = read_traces(tmp_path)
     assert (
@@ -132,7 +132,7 @@
     scene.router.trace.store.file = open("/dev/full", "wb")  # fails when flushed, and again when closed
     play_lookups(scene, 20)
     assert scene.counters.values["traces_failed"] == 1 and "trace cannot be written" in scene.out.text
-    assert scene.adds_up()["lookups_held"] == 0
+    assert scene.check_counters()["lookups_held"] == 0
     scene.router.trace.close()
 
 
