--- a/hookrouter/desk/admission.py
+++ b/hookrouter/desk/admission.py
@@ -81,9 +81,7 @@
         placement = self.publisher.tail.place(follow_request.position, follow_request.highest_epoch)
         if placement == tail.RAISE:
             self.publisher.raise_epoch(follow_request.highest_epoch)
-            return json_response(
-                request, 409, {"error": "position cannot be served now; retry"}, Retry_After=1
-            )
+            return json_response(request, 409, {"error": "come again"}, Retry_After=1)
         member = (request.getHeader(b"x-member") or request.getClientAddress().host.encode()).decode(
             "latin-1"
         )
@@ -164,9 +162,7 @@
         if not publisher.follow(request, waiting_request.follow_request, caught_up):
             del self.waiting[connection_id]
             self._apply_later(self.gate.completed, connection_id, 1)
-            request.write(
-                json_response(request, 409, {"error": "position cannot be served now; retry"}, Retry_After=1)
-            )
+            request.write(json_response(request, 409, {"error": "come again"}, Retry_After=1))
             request.finish()
 
     def _send_defer(self, request: server.Request, reply: messages.Defer) -> None:
@@ -180,7 +176,7 @@
             fields["X_Ticket"] = reply.ticket
         if reply.elsewhere:
             fields["X_Elsewhere"] = reply.elsewhere
-        request.write(json_response(request, 503, {"error": "admission deferred; retry as stated"}, **fields))
+        request.write(json_response(request, 503, {"error": "come when told"}, **fields))
         request.finish()
 
     # ---- timers
--- a/hookrouter/desk/web.py
+++ b/hookrouter/desk/web.py
@@ -23,7 +23,7 @@
 
 IDLE_TIMEOUT = 30.0  # seconds that a connection may stay without a request
 MAX_LISTED = 1_000  # purges in one listing
-UNKNOWN_PURGE = "no purge of that number among the newest that the desk shows; see purges list"
+UNKNOWN_PURGE = "no purge of that number among the newest that the desk shows; purges list has them"
 STATUS_CODES = {"form": 400, "key": 409, "busy": 503}
 
 
@@ -80,15 +80,15 @@
         """Starts an endless stream of events, or answers when to retry."""
         follow_request = read_follow_request(request)
         if not self.publisher.ready():
-            return json_response(request, 503, {"error": "no message from upstream yet"}, Retry_After=1)
+            return json_response(
+                request, 503, {"error": "nothing has been heard from above yet"}, Retry_After=1
+            )
         if self.publisher.admission is not None:
             return self.publisher.admission.add_request(request, follow_request)
         request.setHeader(b"Content-Type", b"text/event-stream")
         request.setHeader(b"Cache-Control", b"no-store")
         if not self.publisher.follow(request, follow_request):
-            return json_response(
-                request, 409, {"error": "position cannot be served now; retry"}, Retry_After=1
-            )
+            return json_response(request, 409, {"error": "come again"}, Retry_After=1)
         return server.NOT_DONE_YET
 
 
@@ -139,13 +139,15 @@
     def render_POST(self, request: server.Request) -> bytes:
         """Answers wire.Granted; 409 if the follower is of an earlier generation or one too many."""
         if not self.publisher.ready():
-            return json_response(request, 503, {"error": "no message from upstream yet"}, Retry_After=1)
+            return json_response(
+                request, 503, {"error": "nothing has been heard from above yet"}, Retry_After=1
+            )
         granted = self.publisher.renew(wire.read_renew(request.content.read()))
         if granted is None:
             return json_response(
                 request,
                 409,
-                {"error": "a later generation of this member is known, or there are too many members"},
+                {"error": "a later life of this member is known, or there are too many"},
             )
         return json_response(request, 200, granted)
 
