--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -85,7 +85,7 @@
     link = Link(engine, rate=1.0)
     sizes = np.random.default_rng(200 + seed).exponential(mean, count).tolist()
     fed(seed, load / mean, count, Fed(engine, link.carry, sizes).arrive)
-    return link.tally.stayed / count / theory.shared_stay(load / mean, mean) - 1, apart(link.tally)
+    return link.tally.total_stay / count / theory.shared_stay(load / mean, mean) - 1, apart(link.tally)
 
 
 def keeping(seed, count, objects=20_000, slots=1_000):
